--- a/bench/allowance/fairness.ts
+++ b/bench/allowance/fairness.ts
@@ -1,6 +1,6 @@
 /** How long teams wait in the queue while one floods, beside their wait alone on a fair share. */
 import { createSilentLogger } from '../../packages/magnoliabay/src/node/logger'
-import { createQueue } from '../../packages/magnoliabay/src/node/queue'
+import { createRequestQueue } from '../../packages/magnoliabay/src/node/queue'
 import { createBenchClock, createRandom, exponential, percentile } from '../virtualTime'
 
 export interface FairnessOutcome {
@@ -58,20 +58,20 @@
 
 async function runQueue (discipline: Discipline, jobs: readonly Job[], slots: number, waits: Map<string, number[]>): Promise<number> {
   const clock = createBenchClock()
-  const queue = createQueue({
-    capacity: { mayStart: (_model, started) => started < slots },
+  const queue = createRequestQueue({
+    capacity: { hasRoomFor: (_model, started) => started < slots },
     weightOf: () => 1,
     clock,
     logger: createSilentLogger()
   })
   let refused = 0
   const handle = async (job: Job): Promise<void> => {
-    const turn = await queue.enter({
+    const turn = await queue.acquire({
       // One line for all is what first come, first served is.
       team: discipline === 'fair queue' ? job.team : 'all',
       model: 'm',
       workClass: 'interactive',
-      tokens: job.tokens,
+      reservedTokens: job.tokens,
       deadlineMs: clock.monotonic() + DEADLINE_MS,
       signal: new AbortController().signal
     })
@@ -82,7 +82,7 @@
       return
     }
     waits.get(job.team)!.push(clock.monotonic() - job.atMs)
-    clock.schedule(job.tokens * MS_PER_TOKEN, () => turn.val.done(job.tokens))
+    clock.schedule(job.tokens * MS_PER_TOKEN, () => turn.val.release(job.tokens))
   }
   jobs.forEach(job => clock.schedule(job.atMs, () => { handle(job) }))
   await clock.runUntil(DURATION_MS + DEADLINE_MS)
--- a/bench/allowance/policies.ts
+++ b/bench/allowance/policies.ts
@@ -37,7 +37,7 @@
   let messages = 0
   const network = createMemoryNetwork({
     clock,
-    fate: () => {
+    deliveryPolicy: () => {
       messages += 1
       return [PEER_DELAY_MS]
     }
@@ -46,7 +46,7 @@
   const counter = createKvCallCounter()
   const store = createDirectStore(createKvState({ clock }), { clock, faults, counter })
   const fleet = { team: TEAMS.map(team => ({ name: team.name, tokensPerSecond: team.rate, burstTokens: team.burst })) }
-  const cfg = { inForce: () => ({ fleet }), onChanged: () => () => {} }
+  const cfg = { active: () => ({ fleet }), onChanged: () => () => {} }
   const recordOf = (index: number): MemberRecord => ({
     id: `i${index}`, incarnation: `i${index}#1`, startedAtMs: 0, region: 'r', failureDomain: `d${index % 3}`, peerAddress: '', entryAddress: '', operatorAddress: '', leaving: false, processorShare: 0
   })
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -6,8 +6,8 @@
 import { createStandInFleet } from '@magnoliabay/standins'
 import type { StandInFleet } from '@magnoliabay/standins'
 import { createOperatorClient } from '../packages/magnoliabay/src/node/operators/client'
-import { createProcesses } from '../scripts/fleet/processes'
-import { FAILURE_DOMAINS, LIST_LAG_MS, REGION, siteConfig } from '../scripts/fleet/site'
+import { createInstanceProcesses } from '../scripts/fleet/processes'
+import { FAILURE_DOMAINS, LIST_LAG_MS, REGION, fleetConfigToml } from '../scripts/fleet/fleetConfig'
 import { fitLine, sampleProcess, useBetween } from './capacity/sample'
 import type { Use } from './capacity/sample'
 
@@ -86,7 +86,7 @@
     services: ['notes'],
     listLagMs: LIST_LAG_MS
   })
-  const processes = createProcesses({ standIns, directory: DIRECTORY, operatorKey: OPERATOR_KEY })
+  const processes = createInstanceProcesses({ standIns, directory: DIRECTORY, operatorKey: OPERATOR_KEY })
   try {
     await startAll(setup, standIns, processes)
     await pause(SETTLE_MS)
@@ -105,12 +105,12 @@
       storeLeases: (calls.leases - callsBefore.leases) / seconds
     }
   } finally {
-    await processes.endAll()
+    await processes.stopAll()
     await standIns.close()
   }
 }
 
-async function startAll (setup: Setup, standIns: StandInFleet, processes: ReturnType<typeof createProcesses>): Promise<void> {
+async function startAll (setup: Setup, standIns: StandInFleet, processes: ReturnType<typeof createInstanceProcesses>): Promise<void> {
   const first = processes.start('entry-1', 1)
   await pause(1500)
   const operators = createOperatorClient({ address: processes.live()[0]!.operatorAddress, key: OPERATOR_KEY })
@@ -130,7 +130,7 @@
   const teams = Array.from({ length: Math.max(0, setup.teams - 5) }, (_, index) =>
     `[[team]]\nname = "team-${index}"\ntokensPerSecond = 100\nburstTokens = 400\n`)
   const cells = setup.cells === 0 ? [] : [`cells = ${setup.cells}`]
-  return [...cells, siteConfig(), ...adapters, ...teams].join('\n')
+  return [...cells, fleetConfigToml(), ...adapters, ...teams].join('\n')
 }
 
 function meanOf (uses: readonly Use[]): Use {
--- a/bench/cold/fakes.ts
+++ b/bench/cold/fakes.ts
@@ -1,5 +1,5 @@
 /** Engines and weight store of a workload, for contenders that send their orders straight. */
-import { createEngineState, createWeightStore } from '@magnoliabay/standins'
+import { createEngineStandIn, createWeightStore } from '@magnoliabay/standins'
 import type { EngineStandIn, WeightStore } from '@magnoliabay/standins'
 import { createFastClock } from 'magnoliabay/cells/__tests__/support/fastClock'
 import type { VirtualClock } from 'magnoliabay/clock/virtual'
@@ -19,7 +19,7 @@
 export function createFakes (workload: Workload): Fakes {
   const clock = createFastClock()
   const weights = createWeightStore({ clock, loadsPerSecond: workload.site.loadsPerSecond, fullSpeedLoads: FULL_SPEED_LOADS })
-  const engines = Array.from({ length: workload.site.engines }, (_, index) => createEngineState({
+  const engines = Array.from({ length: workload.site.engines }, (_, index) => createEngineStandIn({
     id: `engine-${index + 1}`, clock, weights, memoryMiB: ENGINE_MIB, checkpoints: workload.checkpoints[index]
   }))
   const sizes = new Map(workload.models.map(model => [model.name, model.memoryMiB]))
@@ -33,7 +33,7 @@
     loadedAt: model => engines.find(engine => engine.state().models.some(held => held.model === model && held.state === 'loaded')),
     order: async (engine, action, model) => {
       orders += 1
-      const reply = await engine.carryOut({ orderId: `order-${orders}`, fence: 1, action, model, memoryMiB: sizeOf(model) })
+      const reply = await engine.executeOrder({ orderId: `order-${orders}`, fence: 1, action, model, memoryMiB: sizeOf(model) })
       return reply?.outcome === 'done' || reply?.outcome === 'already-done'
     }
   }
--- a/bench/cold/product.ts
+++ b/bench/cold/product.ts
@@ -27,8 +27,8 @@
     weights: world.weights,
     serve: async ({ instance, model }) => {
       const { routing } = world.instance(`entry-${instance + 1}`)
-      const route = await routing.acquire({
-        name: model, deadlineMs: world.clock.monotonic() + PATIENCE_MS, avoid: new Set(), signal: new AbortController().signal
+      const route = await routing.acquireReplica({
+        modelOrAdapter: model, deadlineMs: world.clock.monotonic() + PATIENCE_MS, excludedEngines: new Set(), signal: new AbortController().signal
       })
       return route.ok ? { engine: route.val.replica.engine, release: route.val.release } : undefined
     },
--- a/bench/config/index.ts
+++ b/bench/config/index.ts
@@ -8,7 +8,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { createStandInFleet } from '@magnoliabay/standins'
-import { createProcesses } from '../../scripts/fleet/processes'
+import { createInstanceProcesses } from '../../scripts/fleet/processes'
 import { adapterChange, applyTimed, baseToml, createFleetClient } from './changes'
 import type { FleetClient } from './changes'
 import { formatFigures, percentile, readUsage } from './figures'
@@ -33,7 +33,7 @@
   execFileSync('npx', ['tsx', 'scripts/build.ts'])
   const directory = mkdtempSync(join(tmpdir(), 'bench-config-'))
   const standIns = await createStandInFleet({ engines: 0, services: [] })
-  const processes = createProcesses({ standIns, directory, operatorKey: OPERATOR_KEY })
+  const processes = createInstanceProcesses({ standIns, directory, operatorKey: OPERATOR_KEY })
   try {
     const starting = Array.from({ length: INSTANCES }, (_, index) => processes.start(`entry-${index + 1}`, index))
     await pause(SETTLE_MS)
@@ -44,7 +44,7 @@
     const lines = await measure(fleet, standIns)
     process.stdout.write(`${formatFigures(lines)}\n`)
   } finally {
-    await processes.endAll()
+    await processes.stopAll()
     await standIns.close()
     rmSync(directory, { recursive: true, force: true })
   }
--- a/bench/relay/writes.ts
+++ b/bench/relay/writes.ts
@@ -8,8 +8,8 @@
 import type { VirtualClock } from '../../packages/magnoliabay/src/node/clock/virtual'
 import { createSilentLogger } from '../../packages/magnoliabay/src/node/logger'
 import { createMemoryNetwork } from '../../packages/magnoliabay/src/node/members/memoryNetwork'
-import { createGroupWriter, createOnce, createRetentionLease, createSharedWriter } from '../../packages/magnoliabay/src/node/once'
-import type { Once } from '../../packages/magnoliabay/src/node/once'
+import { createBatchWriter, createIdempotencyClaims, createRetentionLease, createForwardingWriter } from '../../packages/magnoliabay/src/node/once'
+import type { IdempotencyClaims } from '../../packages/magnoliabay/src/node/once'
 
 interface WritesCase {
   instances: number
@@ -37,15 +37,15 @@
   const random = createRandom(SEED)
   const counter = createKvCallCounter()
   const state = createKvState({ clock })
-  const network = createMemoryNetwork({ clock, fate: () => [LINK_MS] })
-  const once = Array.from({ length: instances }, (_, index): Once => {
+  const network = createMemoryNetwork({ clock, deliveryPolicy: () => [LINK_MS] })
+  const once = Array.from({ length: instances }, (_, index): IdempotencyClaims => {
     const id = `i-${index}`
     const peers = network.join({ id, incarnation: id, startedAtMs: 0, region: 'r', failureDomain: 'z', peerAddress: '', entryAddress: '', operatorAddress: '', leaving: false, processorShare: 0 })
     const direct = createDirectStore(state, { clock, counter, caller: id })
     const store: typeof direct = { ...direct, transact: async (transaction, options) => { await sleep(clock, STORE_MS); return await direct.transact(transaction, options) } }
     const lease = createRetentionLease({ store, clock, retentionSeconds: 86_400 })
-    const writer = createSharedWriter({ peers, local: createGroupWriter({ store, lease, clock }) })
-    return createOnce({ store, writer, holder: id, clock, logger: createSilentLogger(), inProgressMs: 60_000 })
+    const writer = createForwardingWriter({ peers, localWriter: createBatchWriter({ store, lease, clock }) })
+    return createIdempotencyClaims({ store, writer, holder: id, clock, logger: createSilentLogger(), inProgressTimeoutMs: 60_000 })
   })
   const total = requestsPerSecond * SECONDS
   const waits: number[] = []
--- a/packages/magnoliabay/src/node/__tests__/instanceFixture.ts
+++ b/packages/magnoliabay/src/node/__tests__/instanceFixture.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from 'node:net'
 import { createVirtualClock } from '../clock/virtual'
 import type { VirtualClock } from '../clock/virtual'
-import { EMBEDDED_FLEET } from '../commands/embeddedFleet'
+import { EMBEDDED_CONFIG_TOML } from '../commands/embeddedConfig'
 import { resolveSettings } from '../config'
 import type { Settings } from '../config'
 import { createInstance } from '../instance'
@@ -74,7 +74,7 @@
 
   await during(instance.start())
   const operators = createOperatorClient({ address: operator, key: OPERATOR_KEY })
-  await during(operators.applyConfig(EMBEDDED_FLEET))
+  await during(operators.applyConfig(EMBEDDED_CONFIG_TOML))
   const { key } = await during(operators.createKey(TEAM))
   await passUntil(() => instance.isReady())
   return {
--- a/packages/magnoliabay/src/node/admission/keyring.ts
+++ b/packages/magnoliabay/src/node/admission/keyring.ts
@@ -2,7 +2,7 @@
  * The keys known to this instance, and who may come in with them.
  */
 import type { Clock } from '../clock'
-import { refusal } from '../failures'
+import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import type { Logger } from '../logger'
 import { createListeners } from '../members/dispatch'
@@ -11,10 +11,10 @@
 import type { RangeResult, Store } from '../store'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { createContact } from './contact'
-import { KEYS_PREFIX, parseKeyRecord, secretMatches, splitKey } from './keys'
-import type { KeyRecord } from './keys'
-import { persistWithdrawals } from './persist'
+import { createContact } from './withdrawalFreshness'
+import { KEY_RECORDS_PREFIX, parseKeyRecord, secretMatches, splitKey } from './keys'
+import type { CallerKeyRecord } from './keys'
+import { persistWithdrawals } from './persistWithdrawals'
 import { createWithdrawals } from './withdrawals'
 import type { Withdrawal } from './withdrawals'
 
@@ -44,14 +44,14 @@
 
 export function createKeyring (options: KeyringOptions): Keyring {
   const { store, peers, clock, logger } = options
-  const records = new Map<string, KeyRecord>()
+  const records = new Map<string, CallerKeyRecord>()
   const stopped = createListeners<[string]>()
   const withdrawals = createWithdrawals(peers)
   withdrawals.onNoted(stopped.emit)
 
   const take = (entry: { key: string, value: string }): void => {
     const record = parseKeyRecord(entry.value)
-    const isItsKey = record !== undefined && KEYS_PREFIX + record.id === entry.key
+    const isItsKey = record !== undefined && KEY_RECORDS_PREFIX + record.id === entry.key
     // What is known of the key stays in force: a damaged record neither lets anybody in nor shuts anybody out.
     if (!isItsKey) return logger.error('key-record-refused', { key: entry.key, reason: 'not a key record' })
     records.set(record.id, record)
@@ -63,12 +63,12 @@
   const takeAll = (snapshot: RangeResult): void => {
     const present = new Set(snapshot.entries.map(entry => entry.key))
     snapshot.entries.forEach(take)
-    const gone = [...records.keys()].filter(keyId => !present.has(KEYS_PREFIX + keyId))
+    const gone = [...records.keys()].filter(keyId => !present.has(KEY_RECORDS_PREFIX + keyId))
     gone.forEach(drop)
     contact.noteHeard()
   }
   const readStore = async (): Promise<boolean> => {
-    const range = await store.range(KEYS_PREFIX, { priority: 'config' })
+    const range = await store.range(KEY_RECORDS_PREFIX, { priority: 'config' })
     if (range.ok) takeAll(range.val)
     return range.ok
   }
@@ -76,24 +76,24 @@
 
   return {
     authenticate: authorization => {
-      if (authorization === undefined) return Err(refusal('missing_key', 'Send your key as `Authorization: Bearer <key>`.'))
-      if (!contact.isRecent()) return Err(refusal('store_unavailable', 'This instance cannot check keys just now. Use another one.', RETRY_ELSEWHERE_S))
+      if (authorization === undefined) return Err(createRefusal('missing_key', 'Send your key as `Authorization: Bearer <key>`.'))
+      if (!contact.isRecent()) return Err(createRefusal('store_unavailable', 'This instance cannot check keys just now. Use another one.', RETRY_ELSEWHERE_S))
       const parts = splitKey(BEARER.exec(authorization)?.[1] ?? '')
       const record = parts === undefined ? undefined : records.get(parts.id)
       if (parts === undefined || record === undefined || !secretMatches(record, parts.secret)) {
-        return Err(refusal('invalid_key', 'This key is not known here. Check it, or ask your operator for a new one.'))
+        return Err(createRefusal('invalid_key', 'This key is not known here. Check it, or ask your operator for a new one.'))
       }
-      if (withdrawals.has(record.id)) return Err(refusal('key_withdrawn', 'This key has been withdrawn. Ask your operator for a new one.'))
+      if (withdrawals.has(record.id)) return Err(createRefusal('key_withdrawn', 'This key has been withdrawn. Ask your operator for a new one.'))
       return Ok({ team: record.team, keyId: record.id })
     },
     withdraw: withdrawals.announce,
     onWithdrawn: stopped.add,
     start: signal => {
-      store.watch(KEYS_PREFIX, {
+      store.watch(KEY_RECORDS_PREFIX, {
         onSnapshot: takeAll,
         onEvent: event => {
           if (event.kind === 'put') take(event)
-          else drop(event.key.slice(KEYS_PREFIX.length))
+          else drop(event.key.slice(KEY_RECORDS_PREFIX.length))
         }
       }, signal)
       contact.start(signal)
--- a/packages/magnoliabay/src/node/admission/keys.ts
+++ b/packages/magnoliabay/src/node/admission/keys.ts
@@ -3,10 +3,10 @@
  */
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto'
 import * as v from 'valibot'
-import { STORE_ROOT } from '../constants'
+import { STORE_KEY_PREFIX } from '../constants'
 import { parseJson } from '../utils'
 
-export const KEYS_PREFIX = `${STORE_ROOT}/keys/`
+export const KEY_RECORDS_PREFIX = `${STORE_KEY_PREFIX}/keys/`
 
 /** Bytes of a key's public id and of its secret. */
 const ID_BYTES = 6
@@ -22,20 +22,20 @@
   withdrawnAtMs: v.optional(v.number())
 })
 
-export type KeyRecord = v.InferOutput<typeof keySchema>
+export type CallerKeyRecord = v.InferOutput<typeof keySchema>
 
 export interface KeyParts {
   id: string
   secret: string
 }
 
-export interface NewKey {
+export interface CreatedCallerKey {
   /** Shown once, to whoever made it. */
   key: string
-  record: KeyRecord
+  record: CallerKeyRecord
 }
 
-export function createKey (team: string, nowMs: number): NewKey {
+export function createCallerKey (team: string, nowMs: number): CreatedCallerKey {
   const id = randomBytes(ID_BYTES).toString('hex')
   const secret = randomBytes(SECRET_BYTES).toString('base64url')
   return {
@@ -55,14 +55,14 @@
 }
 
 /** Compares in constant time, so that the time taken tells nothing about the secret. */
-export function secretMatches (record: Pick<KeyRecord, 'digest'>, secret: string): boolean {
+export function secretMatches (record: Pick<CallerKeyRecord, 'digest'>, secret: string): boolean {
   const expected = Buffer.from(record.digest, 'hex')
   const actual = Buffer.from(digestOf(secret), 'hex')
   return expected.length === actual.length && timingSafeEqual(expected, actual)
 }
 
 /** The record, or undefined when the text isn't one. */
-export function parseKeyRecord (text: string): KeyRecord | undefined {
+export function parseKeyRecord (text: string): CallerKeyRecord | undefined {
   const checked = v.safeParse(keySchema, parseJson(text))
   return checked.success ? checked.output : undefined
 }
--- a/packages/magnoliabay/src/node/admission/persist.ts
+++ b/packages/magnoliabay/src/node/admission/persistWithdrawals.ts
@@ -8,8 +8,8 @@
 import type { Peers } from '../members'
 import type { Store } from '../store'
 import { rankByRendezvous } from '../utils'
-import { KEYS_PREFIX, parseKeyRecord } from './keys'
-import type { KeyRecord } from './keys'
+import { KEY_RECORDS_PREFIX, parseKeyRecord } from './keys'
+import type { CallerKeyRecord } from './keys'
 import type { Withdrawals } from './withdrawals'
 
 const PERSIST_PERIOD_MS = 2000
@@ -19,7 +19,7 @@
   peers: Peers
   withdrawals: Withdrawals
   /** The store's record of a key, as last heard. */
-  recordOf: (keyId: string) => KeyRecord | undefined
+  recordOf: (keyId: string) => CallerKeyRecord | undefined
   clock: Clock
   logger: Logger
 }
@@ -37,13 +37,13 @@
     return ranked[waited % ranked.length]?.id === peers.self.id
   }
   const write = async (keyId: string, atMs: number): Promise<void> => {
-    const found = await store.get(KEYS_PREFIX + keyId, { priority: 'config' })
+    const found = await store.get(KEY_RECORDS_PREFIX + keyId, { priority: 'config' })
     if (found.err || found.val === undefined) return
     const record = parseKeyRecord(found.val.value)
     if (record === undefined || record.withdrawnAtMs !== undefined) return
     const written = await store.transact({
-      compares: [{ key: KEYS_PREFIX + keyId, target: 'mod', equals: found.val.modRevision }],
-      writes: [{ kind: 'put', key: KEYS_PREFIX + keyId, value: JSON.stringify({ ...record, withdrawnAtMs: atMs }) }]
+      compares: [{ key: KEY_RECORDS_PREFIX + keyId, target: 'mod', equals: found.val.modRevision }],
+      writes: [{ kind: 'put', key: KEY_RECORDS_PREFIX + keyId, value: JSON.stringify({ ...record, withdrawnAtMs: atMs }) }]
     }, { priority: 'config' })
     if (written.ok && written.val.succeeded) logger.info('withdrawal-written', { key: keyId, reason: 'known to peers only' })
   }
--- a/packages/magnoliabay/src/node/allowance/__tests__/share.spec.ts
+++ b/packages/magnoliabay/src/node/allowance/__tests__/share.spec.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai'
 import { TOTAL_UNITS } from '../constants'
-import { createPairs } from '../pairs'
+import { createPairs } from '../transferCounters'
 import { createShare } from '../share'
-import type { TeamShare } from '../shares'
+import type { TeamShare } from '../teamShares'
 
 const SIZE = { rate: 100, burst: 1000 }
 
--- a/packages/magnoliabay/src/node/allowance/__tests__/testFleet.ts
+++ b/packages/magnoliabay/src/node/allowance/__tests__/testFleet.ts
@@ -5,11 +5,11 @@
 import { createSilentLogger } from '../../logger'
 import { createListeners } from '../../members/dispatch'
 import { createMemoryNetwork } from '../../members/memoryNetwork'
-import type { GoneProofs, ProcessName } from '../../members/proof'
+import type { TerminationProofs, ProcessId } from '../../members/terminationDetector'
 import type { MemberRecord } from '../../members'
 import { createAllowance } from '../allowance'
 import type { Allowance, Reservation } from '../allowance'
-import type { TeamAllowance, TeamsInForce } from '../shares'
+import type { TeamAllowanceConfig, ActiveTeamConfig } from '../teamShares'
 
 export const TEAM = 'depot'
 
@@ -22,7 +22,7 @@
 export interface TestMember {
   record: MemberRecord
   allowance: Allowance
-  cfg: TeamsInForce & { apply: (rate: number, burst: number) => void }
+  cfg: ActiveTeamConfig & { apply: (rate: number, burst: number) => void }
   pause: () => void
   resume: () => void
   stop: AbortController
@@ -36,10 +36,10 @@
 
 function createTeamsInForce (rate: number, burst: number): TestMember['cfg'] {
   const changed = createListeners<[]>()
-  const sized = (tokensPerSecond: number, burstTokens: number): TeamAllowance => ({ name: TEAM, tokensPerSecond, burstTokens })
+  const sized = (tokensPerSecond: number, burstTokens: number): TeamAllowanceConfig => ({ name: TEAM, tokensPerSecond, burstTokens })
   let team = sized(rate, burst)
   return {
-    inForce: () => ({ fleet: { team: [team] } }),
+    active: () => ({ fleet: { team: [team] } }),
     onChanged: changed.add,
     apply: (nextRate, nextBurst) => {
       team = sized(nextRate, nextBurst)
@@ -74,8 +74,8 @@
   const faults = createKvFaults()
   const counter = createKvCallCounter()
   const proven = new Map<string, 'listed-gone'>()
-  const onProven = createListeners<[ProcessName, 'listed-gone']>()
-  const proofs: GoneProofs = { proofFor: process => proven.get(process.incarnation), onProven: onProven.add }
+  const onProven = createListeners<[ProcessId, 'listed-gone']>()
+  const proofs: TerminationProofs = { proofFor: process => proven.get(process.incarnation), onTerminated: onProven.add }
   const members = new Map<string, TestMember>()
   const spendings: Spending[] = []
   const rate = options.rate ?? 100
@@ -106,7 +106,7 @@
     allowance.start(stop.signal)
     return member
   }
-  const kill = (id: string): ProcessName => {
+  const kill = (id: string): ProcessId => {
     const member = members.get(id)!
     member.stop.abort()
     member.pause()
@@ -114,11 +114,11 @@
     members.delete(id)
     return { member: id, incarnation: member.record.incarnation }
   }
-  const prove = (process: ProcessName): void => {
+  const prove = (process: ProcessId): void => {
     proven.set(process.incarnation, 'listed-gone')
     onProven.emit(process, 'listed-gone')
   }
-  const cutOff = (id: string): void => members.forEach((_member, other) => { if (other !== id) network.cut(id, other) })
+  const cutOff = (id: string): void => members.forEach((_member, other) => { if (other !== id) network.partition(id, other) })
   const rejoin = (id: string): void => members.forEach((_member, other) => { if (other !== id) network.heal(id, other) })
   /** Reserves and notes the spending; what it resolves to can be settled. */
   const reserve = async (id: string, tokens: number): Promise<{ reservation: Reservation, spending: Spending, incarnation: string } | undefined> => {
--- a/packages/magnoliabay/src/node/allowance/allowance.ts
+++ b/packages/magnoliabay/src/node/allowance/allowance.ts
@@ -4,27 +4,27 @@
  */
 import type { Clock } from '../clock'
 import { repeat, sleep } from '../clock'
-import { refusal } from '../failures'
+import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import type { Logger } from '../logger'
 import type { MemberRecord, Peers } from '../members'
-import type { GoneProofs } from '../members/proof'
+import type { TerminationProofs } from '../members/terminationDetector'
 import type { Store } from '../store'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { KEPT_BY_EACH_HOME, MS_PER_SECOND, TEND_PERIOD_MS } from './constants'
-import { createExchange } from './exchange'
-import { isIdle } from './giving'
-import { createHomes } from './homes'
+import { KEPT_BY_EACH_HOME, MS_PER_SECOND, MAINTENANCE_PERIOD_MS } from './constants'
+import { createShareExchange } from './shareExchange'
+import { isIdle } from './transferPolicy'
+import { createHomes } from './homeMembers'
 import { holdingNotice } from './messages'
-import { createPairs } from './pairs'
+import { createPairs } from './transferCounters'
 import { createReclaim } from './reclaim'
-import { createRemote } from './remote'
-import type { RemoteTicket } from './remote'
-import { createRegistry } from './registry'
+import { createRemote } from './remoteReservations'
+import type { RemoteTicket } from './remoteReservations'
+import { createProcessRegistry } from './processRegistry'
 import type { Ticket } from './share'
-import { createShares } from './shares'
-import type { TeamShare, TeamsInForce } from './shares'
+import { createShares } from './teamShares'
+import type { TeamShare, ActiveTeamConfig } from './teamShares'
 
 export interface Reservation {
   team: string
@@ -53,7 +53,7 @@
   /** Ends a reservation: what it didn't use comes back; what it used beyond is owed. */
   settle (reservation: Reservation, usedTokens: number): void
   /** Members at which the team's tokens are held, best first. */
-  homes (team: string): readonly string[]
+  homeMembers (team: string): readonly string[]
   /** What this process holds of each team. */
   holdings (): readonly TeamHolding[]
   start (signal: AbortSignal): void
@@ -62,20 +62,20 @@
 }
 
 export interface AllowanceOptions {
-  cfg: TeamsInForce
+  cfg: ActiveTeamConfig
   peers: Peers
   store: Store
   clock: Clock
   logger: Logger
   /** Without proofs nothing is reclaimed. @default nobody is ever proven gone */
-  proofs?: GoneProofs
+  proofs?: TerminationProofs
 }
 
 const RETRY_AFTER_UNREACHABLE_S = 1
 const HAND_OVER_MS = 2000
 const HAND_OVER_POLL_MS = 50
 
-const NO_PROOFS: GoneProofs = { proofFor: () => undefined, onProven: () => () => {} }
+const NO_PROOFS: TerminationProofs = { proofFor: () => undefined, onTerminated: () => () => {} }
 
 export function createAllowance (options: AllowanceOptions): Allowance {
   const { cfg, peers, store, clock, logger } = options
@@ -85,8 +85,8 @@
   const homes = createHomes(peers)
   const pairs = createPairs({ process: self.incarnation, shares, monotonic })
   const name = { member: self.id, incarnation: self.incarnation }
-  const registry = createRegistry({ store, self: name, shares, clock, logger })
-  const exchange = createExchange({ peers, shares, pairs, homes, clock, logger, mayHold: registry.isRegistered })
+  const registry = createProcessRegistry({ store, self: name, shares, clock, logger })
+  const exchange = createShareExchange({ peers, shares, pairs, homes, clock, logger, mayHold: registry.isRegistered })
   const remote = createRemote({ peers, shares, homes, exchange, clock })
   const reclaim = createReclaim({ store, peers, pairs, registry, proofs: options.proofs ?? NO_PROOFS, clock, logger })
 
@@ -119,7 +119,7 @@
   }
   const refuse = (tokens: number, waitMs: number): Failure => {
     const waitSeconds = Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))
-    return refusal('over_allowance', `The team's allowance is spent. ${tokens} tokens will be there in ${waitSeconds} s.`, waitSeconds)
+    return createRefusal('over_allowance', `The team's allowance is spent. ${tokens} tokens will be there in ${waitSeconds} s.`, waitSeconds)
   }
   const reserveHere = async (own: TeamShare, tokens: number): Promise<Result<Reservation, Failure>> => {
     const waitMs = await exchange.fetch(own, tokens)
@@ -131,11 +131,11 @@
     const answer = await remote.reserve(team, tokens)
     if (answer.kind === 'granted') return Ok({ team, tokens, held: { at: 'home', ticket: answer.ticket } })
     if (answer.kind === 'refused') return Err(refuse(tokens, answer.waitMs))
-    return Err(refusal('over_allowance', 'The allowance cannot be checked here just now. Use another instance.', RETRY_AFTER_UNREACHABLE_S))
+    return Err(createRefusal('over_allowance', 'The allowance cannot be checked here just now. Use another instance.', RETRY_AFTER_UNREACHABLE_S))
   }
 
   return {
-    homes: team => homes.ranked(team).map(member => member.id),
+    homeMembers: team => homes.ranked(team).map(member => member.id),
     holdings: () => shares.all().map(({ team, share }) => ({
       team,
       units: share.units(),
@@ -144,9 +144,9 @@
     })),
     reserve: async (team, tokens) => {
       const own = shares.of(team)
-      if (own === undefined) return Err(refusal('over_allowance', `Team ${team} has no allowance here yet.`, RETRY_AFTER_UNREACHABLE_S))
+      if (own === undefined) return Err(createRefusal('over_allowance', `Team ${team} has no allowance here yet.`, RETRY_AFTER_UNREACHABLE_S))
       const { burst } = own.share.size()
-      if (tokens > burst) return Err(refusal('over_allowance', `The request needs ${tokens} tokens, more than the team's burst of ${burst}.`))
+      if (tokens > burst) return Err(createRefusal('over_allowance', `The request needs ${tokens} tokens, more than the team's burst of ${burst}.`))
       own.demand.note(tokens, monotonic())
       const ticket = own.share.take(tokens, monotonic())
       if (ticket !== undefined) return Ok({ team, tokens, held: { at: 'here', ticket } })
@@ -158,7 +158,7 @@
     },
     start: signal => {
       cfg.onChanged(() => { if (!signal.aborted) grantFirst() })
-      repeat(clock, TEND_PERIOD_MS, signal, tend)
+      repeat(clock, MAINTENANCE_PERIOD_MS, signal, tend)
     },
     handOver: async () => {
       const endMs = monotonic() + HAND_OVER_MS
--- a/packages/magnoliabay/src/node/allowance/constants.ts
+++ b/packages/magnoliabay/src/node/allowance/constants.ts
@@ -1,5 +1,5 @@
 /** Sizes and periods of the allowances. */
-import { STORE_ROOT } from '../constants'
+import { STORE_KEY_PREFIX } from '../constants'
 
 /** A team's whole allowance, in units. Shares are whole numbers of units, so that no rounding can make one. */
 export const TOTAL_UNITS = 2 ** 20
@@ -10,11 +10,11 @@
  */
 export const KEPT_BY_EACH_HOME = TOTAL_UNITS / 4
 
-export const PROCESSES_PREFIX = `${STORE_ROOT}/allowance/processes/`
-export const LEDGERS_PREFIX = `${STORE_ROOT}/allowance/ledgers/`
+export const PROCESSES_PREFIX = `${STORE_KEY_PREFIX}/allowance/processes/`
+export const LEDGERS_PREFIX = `${STORE_KEY_PREFIX}/allowance/ledgers/`
 
 /** How often idle shares are offered, lost transfers healed and pending store work retried, in milliseconds. */
-export const TEND_PERIOD_MS = 1000
+export const MAINTENANCE_PERIOD_MS = 1000
 /** A share away from home without a request for this long goes home, in milliseconds. */
 export const IDLE_SHARE_MS = 2000
 /** For how long a team is refused on what the last collection brought, without asking again, in milliseconds. */
--- a/packages/magnoliabay/src/node/allowance/demand.ts
+++ b/packages/magnoliabay/src/node/allowance/demand.ts
@@ -16,7 +16,7 @@
   let lastMs = -Infinity
   return {
     note: (tokens, now) => {
-      asked.note(tokens, now)
+      asked.add(tokens, now)
       lastMs = now
     },
     rate: asked.read,
--- a/packages/magnoliabay/src/node/allowance/ledger.ts
+++ b/packages/magnoliabay/src/node/allowance/ledger.ts
@@ -9,7 +9,7 @@
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { LEDGERS_PREFIX, TOTAL_UNITS } from './constants'
-import type { PairReport } from './pairs'
+import type { PairReport } from './transferCounters'
 
 export interface LedgerEntry {
   /** Incarnation. */
--- a/packages/magnoliabay/src/node/allowance/messages.ts
+++ b/packages/magnoliabay/src/node/allowance/messages.ts
@@ -1,6 +1,6 @@
 /** What members say to each other about allowances. */
 import { definePeerCall, definePeerNotice } from '../members'
-import type { PairReport, Transfer } from './pairs'
+import type { PairReport, Transfer } from './transferCounters'
 
 /**
  * `collect`: as many of the tokens as are there.
--- a/packages/magnoliabay/src/node/allowance/registry.ts
+++ b/packages/magnoliabay/src/node/allowance/processRegistry.ts
@@ -6,23 +6,23 @@
  */
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
-import type { ProcessName } from '../members/proof'
+import type { ProcessId } from '../members/terminationDetector'
 import type { KeyValue, Store } from '../store'
 import type { Compare } from '../store/store'
 import { LEDGERS_PREFIX, PROCESSES_PREFIX } from './constants'
 import { createLedger, grantedTo, ledgerKey, parseLedger } from './ledger'
 import type { Ledger } from './ledger'
-import type { Shares } from './shares'
+import type { Shares } from './teamShares'
 
-export interface RegistryOptions {
+export interface ProcessRegistryOptions {
   store: Store
-  self: ProcessName
+  self: ProcessId
   shares: Shares
   clock: Clock
   logger: Logger
 }
 
-export interface Registry {
+export interface ProcessRegistry {
   isRegistered (): boolean
   /** Store revision of the own entry. A write that raises the own share compares it. */
   revision (): number
@@ -46,7 +46,7 @@
   return `${PROCESSES_PREFIX}${process}`
 }
 
-export function createRegistry (options: RegistryOptions): Registry {
+export function createProcessRegistry (options: ProcessRegistryOptions): ProcessRegistry {
   const { store, self, shares, clock, logger } = options
   const taken = new Map<string, number>()
   const teamsWithLedger = new Set<string>()
--- a/packages/magnoliabay/src/node/allowance/reclaim.ts
+++ b/packages/magnoliabay/src/node/allowance/reclaim.ts
@@ -12,7 +12,7 @@
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
 import type { Peers } from '../members'
-import type { GoneProofs, ProcessName } from '../members/proof'
+import type { TerminationProofs, ProcessId } from '../members/terminationDetector'
 import type { KeyValue, Store } from '../store'
 import type { Compare } from '../store/store'
 import { parseJson, rankByRendezvous } from '../utils'
@@ -20,9 +20,9 @@
 import { parseLedger, settleDead } from './ledger'
 import type { LiveReport } from './ledger'
 import { closeCall } from './messages'
-import type { Pairs } from './pairs'
-import { processKey } from './registry'
-import type { Registry } from './registry'
+import type { Pairs } from './transferCounters'
+import { processKey } from './processRegistry'
+import type { ProcessRegistry } from './processRegistry'
 
 /** Each further member in the order waits this much longer before it tries, in milliseconds. */
 const TURN_MS = 5000
@@ -34,8 +34,8 @@
   store: Store
   peers: Peers
   pairs: Pairs
-  registry: Registry
-  proofs: GoneProofs
+  registry: ProcessRegistry
+  proofs: TerminationProofs
   clock: Clock
   logger: Logger
 }
@@ -46,7 +46,7 @@
 }
 
 interface RegisteredProcess {
-  name: ProcessName
+  name: ProcessId
   modRevision: number
 }
 
@@ -61,7 +61,7 @@
   const provenAtMs = new Map<string, number>()
   let sweptAtMs = clock.monotonic()
 
-  proofs.onProven(process => { provenAtMs.set(process.incarnation, clock.monotonic()) })
+  proofs.onTerminated(process => { provenAtMs.set(process.incarnation, clock.monotonic()) })
   peers.serve(closeCall, req => ({ process: self.incarnation, reports: pairs.close(req.dead) }))
 
   const isMyTurn = (incarnation: string, sinceMs: number): boolean => {
@@ -173,6 +173,6 @@
 /** An entry that can't be read still names its process by its key; nobody can answer for it. */
 function processOf (entry: KeyValue): RegisteredProcess {
   const incarnation = entry.key.slice(PROCESSES_PREFIX.length)
-  const name = (parseJson(entry.value) as ProcessName | undefined) ?? { member: incarnation, incarnation }
+  const name = (parseJson(entry.value) as ProcessId | undefined) ?? { member: incarnation, incarnation }
   return { name: { member: name.member, incarnation }, modRevision: entry.modRevision }
 }
--- a/packages/magnoliabay/src/node/allowance/remote.ts
+++ b/packages/magnoliabay/src/node/allowance/remoteReservations.ts
@@ -5,11 +5,11 @@
 import type { CancelTimer, Clock } from '../clock'
 import type { Peers } from '../members'
 import { ASK_TIMEOUT_MS, KNOWN_TOTAL_MS, REMOTE_RESERVATION_MS } from './constants'
-import type { Exchange } from './exchange'
-import type { Homes } from './homes'
+import type { ShareExchange } from './shareExchange'
+import type { Homes } from './homeMembers'
 import { reserveCall, settleNotice } from './messages'
 import type { Ticket } from './share'
-import type { Shares, TeamShare } from './shares'
+import type { Shares, TeamShare } from './teamShares'
 import { stableHash } from '../utils'
 
 /** A reservation held by another member. */
@@ -33,7 +33,7 @@
   peers: Peers
   shares: Shares
   homes: Homes
-  exchange: Exchange
+  exchange: ShareExchange
   clock: Clock
 }
 
--- a/packages/magnoliabay/src/node/allowance/exchange.ts
+++ b/packages/magnoliabay/src/node/allowance/shareExchange.ts
@@ -6,17 +6,17 @@
 import type { Logger } from '../logger'
 import type { MemberRecord, Peers } from '../members'
 import { ASK_TIMEOUT_MS, KNOWN_TOTAL_MS, MAX_COLLECTED_FROM, MS_PER_SECOND } from './constants'
-import { NO_GIFT, giftFor, isIdle } from './giving'
-import type { Homes } from './homes'
+import { NO_GIFT, giftFor, isIdle } from './transferPolicy'
+import type { Homes } from './homeMembers'
 import { askCall, holdingNotice } from './messages'
 import type { AskMode, AskReply, AskRequest } from './messages'
-import type { Pairs } from './pairs'
-import type { Shares, TeamShare } from './shares'
+import type { Pairs } from './transferCounters'
+import type { Shares, TeamShare } from './teamShares'
 
 /** A second try meets tokens that another request here took in between. */
 const MAX_FETCH_TRIES = 2
 
-export interface ExchangeOptions {
+export interface ShareExchangeOptions {
   peers: Peers
   shares: Shares
   pairs: Pairs
@@ -27,7 +27,7 @@
   mayHold: () => boolean
 }
 
-export interface Exchange {
+export interface ShareExchange {
   /** Brings `tokens` here if the fleet has them. Returns milliseconds until they may be there, 0 when they are. */
   fetch (own: TeamShare, tokens: number): Promise<number>
   /** Takes over what another member holds without use. */
@@ -56,7 +56,7 @@
   collecting: Promise<void> | undefined
 }
 
-export function createExchange (options: ExchangeOptions): Exchange {
+export function createShareExchange (options: ShareExchangeOptions): ShareExchange {
   const { peers, shares, pairs, homes, clock, logger, mayHold } = options
   const states = new Map<string, TeamState>()
   /** Number of the last ask of each process. */
@@ -154,7 +154,7 @@
     if (own === undefined) return { transfer: pairs.give(req.team, from.incarnation, 0, 0), unitsLeft: 0, tokensLeft: 0 }
     return answer(own, req, from)
   })
-  const takeHome: Exchange['takeHome'] = async (team, memberId) => {
+  const takeHome: ShareExchange['takeHome'] = async (team, memberId) => {
     const own = shares.of(team)
     if (own === undefined) return
     const reply = await ask(own, memberId, { mode: 'return', tokens: 0 })
--- a/packages/magnoliabay/src/node/allowance/shares.ts
+++ b/packages/magnoliabay/src/node/allowance/teamShares.ts
@@ -1,6 +1,6 @@
 /** The shares of all teams at this process, in step with the configuration in force. */
 import type { Clock } from '../clock'
-import type { ConfigHolder, TeamConfig } from '../config'
+import type { ConfigProvider, TeamConfig } from '../config'
 import { createDemand } from './demand'
 import type { Demand } from './demand'
 import { createShare } from './share'
@@ -12,11 +12,11 @@
   demand: Demand
 }
 
-export type TeamAllowance = Pick<TeamConfig, 'name' | 'tokensPerSecond' | 'burstTokens'>
+export type TeamAllowanceConfig = Pick<TeamConfig, 'name' | 'tokensPerSecond' | 'burstTokens'>
 
 /** What the allowances need of the configuration. */
-export interface TeamsInForce extends Pick<ConfigHolder, 'onChanged'> {
-  inForce (): { fleet: { team: readonly TeamAllowance[] } }
+export interface ActiveTeamConfig extends Pick<ConfigProvider, 'onChanged'> {
+  active (): { fleet: { team: readonly TeamAllowanceConfig[] } }
 }
 
 export interface Shares {
@@ -25,12 +25,12 @@
   all (): readonly TeamShare[]
 }
 
-export function createShares (cfg: TeamsInForce, clock: Clock): Shares {
+export function createShares (cfg: ActiveTeamConfig, clock: Clock): Shares {
   const shares = new Map<string, TeamShare>()
 
-  const sizeOf = (team: TeamAllowance): AllowanceSize => ({ rate: team.tokensPerSecond, burst: team.burstTokens })
+  const sizeOf = (team: TeamAllowanceConfig): AllowanceSize => ({ rate: team.tokensPerSecond, burst: team.burstTokens })
   /** A team that is no longer configured keeps its units: they are needed when it comes back. */
-  const follow = (): void => cfg.inForce().fleet.team.forEach(team => {
+  const follow = (): void => cfg.active().fleet.team.forEach(team => {
     const existing = shares.get(team.name)
     if (existing !== undefined) return existing.share.resize(sizeOf(team), clock.monotonic())
     shares.set(team.name, { team: team.name, share: createShare(sizeOf(team), clock.monotonic()), demand: createDemand() })
--- a/packages/magnoliabay/src/node/allowance/pairs.ts
+++ b/packages/magnoliabay/src/node/allowance/transferCounters.ts
@@ -5,7 +5,7 @@
  * the difference to what it has already, so a doubled or late transfer brings nothing, and the units
  * of a lost one come with the next. Tokens count only with the newest transfer: those of a lost one are lost.
  */
-import type { Shares } from './shares'
+import type { Shares } from './teamShares'
 
 /** `given` is the giver's counter for this taker and team. */
 export interface Transfer {
--- a/packages/magnoliabay/src/node/allowance/giving.ts
+++ b/packages/magnoliabay/src/node/allowance/transferPolicy.ts
@@ -2,7 +2,7 @@
 import { IDLE_SHARE_MS, KEPT_BY_EACH_HOME, TOTAL_UNITS } from './constants'
 import type { AskMode, AskRequest } from './messages'
 import { unitsFor } from './share'
-import type { TeamShare } from './shares'
+import type { TeamShare } from './teamShares'
 
 export interface Gift {
   units: number
--- a/packages/magnoliabay/src/node/backend/directory.ts
+++ b/packages/magnoliabay/src/node/backend/directory.ts
@@ -7,10 +7,10 @@
 import { createListeners } from '../members/dispatch'
 import type { Disposer, Peers } from '../members/peers'
 import type { InstanceList, ListedInstance } from '../store'
-import { READ_PERIOD_MS, differenceOf, isEmpty, isTurnToRead, listChanged, withChange } from './listReaders'
-import type { ListChange } from './listReaders'
+import { READ_PERIOD_MS, differenceOf, isEmpty, isTurnToRead, listChanged, withChange } from './listPolling'
+import type { ListChange } from './listPolling'
 
-export interface Directory {
+export interface BackendDirectory {
   engines (): readonly ListedInstance[]
   engine (id: string): ListedInstance | undefined
   services (name: string): readonly ListedInstance[]
@@ -20,7 +20,7 @@
   start (signal: AbortSignal): void
 }
 
-export interface DirectoryOptions {
+export interface BackendDirectoryOptions {
   list: InstanceList
   clock: Clock
   logger: Logger
@@ -36,7 +36,7 @@
   services: ReadonlyMap<string, readonly ListedInstance[]>
 }
 
-export function createDirectory (options: DirectoryOptions): Directory {
+export function createBackendDirectory (options: BackendDirectoryOptions): BackendDirectory {
   const { list, clock, logger, peers } = options
   const changed = createListeners<[]>()
   let listed: readonly ListedInstance[] = []
--- a/packages/magnoliabay/src/node/backend/engineClient.ts
+++ b/packages/magnoliabay/src/node/backend/engineClient.ts
@@ -34,7 +34,7 @@
 const NEVER_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
 export function createEngineClient (): EngineClient {
-  const pools = createPools(CONTROL_CONNECTIONS)
+  const pools = createConnectionPools(CONTROL_CONNECTIONS)
   const send = async <T>(address: string, options: Pick<Dispatcher.RequestOptions, 'method' | 'path'>, body: object | undefined, timeoutMs: number): Promise<Result<T, EngineError>> => {
     try {
       const res = await pools.of(address).request({
@@ -69,15 +69,15 @@
   return { kind: NEVER_SENT.has(code) ? 'not-sent' : 'no-answer', message: messageOf(err) }
 }
 
-export interface Pools {
+export interface ConnectionPools {
   of (address: string): Pool
   /** A connection that nobody has used before, and that closes when the caller destroys it. */
-  fresh (address: string): Client
+  createUnpooled (address: string): Client
   close (): Promise<void>
 }
 
 /** One connection pool for each address, made on first use. */
-export function createPools (connections: number | null): Pools {
+export function createConnectionPools (connections: number | null): ConnectionPools {
   const pools = new Map<string, Pool>()
   return {
     of: address => {
@@ -87,7 +87,7 @@
       pools.set(address, created)
       return created
     },
-    fresh: address => new Client(`http://${address}`, { connectTimeout: CONNECT_TIMEOUT_MS }),
+    createUnpooled: address => new Client(`http://${address}`, { connectTimeout: CONNECT_TIMEOUT_MS }),
     close: async () => {
       await Promise.all([...pools.values()].map(pool => pool.destroy()))
       pools.clear()
--- a/packages/magnoliabay/src/node/backend/exchange.ts
+++ b/packages/magnoliabay/src/node/backend/httpExchange.ts
@@ -28,19 +28,19 @@
 
 /**
  * `complete`: the whole answer came. `broken`: the connection failed. `silent`: nothing came within the
- * expected time. `stopped`: by {@link Exchange.stop}.
+ * expected time. `stopped`: by {@link HttpExchange.stop}.
  */
 export type ExchangeEndKind = 'complete' | 'broken' | 'silent' | 'stopped'
 
-export interface ExchangeEnd {
+export interface HttpExchangeEnd {
   kind: ExchangeEndKind
   /** False only when certainly no byte of the request left this process. */
   isSent: boolean
   message: string
 }
 
-export interface Exchange {
-  readonly ended: Promise<ExchangeEnd>
+export interface HttpExchange {
+  readonly ended: Promise<HttpExchangeEnd>
   /** Ends the exchange and closes its connection, unless it has ended. */
   stop (message: string): void
   /** No more data is read until `resume`; silence is not counted meanwhile. */
@@ -48,15 +48,15 @@
   resume (): void
 }
 
-export function startExchange (dispatcher: Dispatcher, clock: Clock, req: ExchangeRequest, handlers: ExchangeHandlers): Exchange {
+export function startExchange (dispatcher: Dispatcher, clock: Clock, req: ExchangeRequest, handlers: ExchangeHandlers): HttpExchange {
   let controller: Dispatcher.DispatchController | undefined
   let isSent = false
   let isOver = false
   let isPaused = false
   let heardMs = clock.monotonic()
   let silenceMs = req.firstByteMs
-  let settle: (end: ExchangeEnd) => void = () => {}
-  const ended = new Promise<ExchangeEnd>(resolve => { settle = resolve })
+  let settle: (end: HttpExchangeEnd) => void = () => {}
+  const ended = new Promise<HttpExchangeEnd>(resolve => { settle = resolve })
 
   const finish = (kind: ExchangeEndKind, message: string): void => {
     if (isOver) return
--- a/packages/magnoliabay/src/node/backend/index.ts
+++ b/packages/magnoliabay/src/node/backend/index.ts
@@ -1,5 +1,5 @@
 /** The backend servers: engines and plain services. */
-export { createDirectory } from './directory'
-export type { Directory } from './directory'
-export { createEngineClient, createPools } from './engineClient'
-export type { EngineClient, Pools } from './engineClient'
+export { createBackendDirectory } from './directory'
+export type { BackendDirectory } from './directory'
+export { createEngineClient, createConnectionPools } from './engineClient'
+export type { EngineClient, ConnectionPools } from './engineClient'
--- a/packages/magnoliabay/src/node/backend/departures.ts
+++ b/packages/magnoliabay/src/node/backend/leavingBackends.ts
@@ -6,19 +6,19 @@
 import { definePeerNotice } from '../members'
 import type { Peers } from '../members'
 
-export interface Departure {
+export interface BackendLeavingNotice {
   address: string
 }
 
-export const backendLeaving = definePeerNotice<Departure>('backend.leaving')
+export const backendLeaving = definePeerNotice<BackendLeavingNotice>('backend.leaving')
 
-export interface Departures {
+export interface LeavingBackends {
   /** The server refused work as one that leaves does. */
-  note (address: string): void
+  markLeaving (address: string): void
   isLeaving (address: string): boolean
 }
 
-export interface DeparturesOptions {
+export interface LeavingBackendsOptions {
   peers: Pick<Peers, 'listen' | 'notifyAll'>
   clock: Clock
   /**
@@ -30,7 +30,7 @@
 
 const HOLD_MS = 10_000
 
-export function createDepartures (options: DeparturesOptions): Departures {
+export function createLeavingBackends (options: LeavingBackendsOptions): LeavingBackends {
   const { peers, clock } = options
   const holdMs = options.holdMs ?? HOLD_MS
   const untilMs = new Map<string, number>()
@@ -46,7 +46,7 @@
   }
   peers.listen(backendLeaving, departure => take(departure.address))
   return {
-    note: address => {
+    markLeaving: address => {
       take(address)
       peers.notifyAll(backendLeaving, { address })
     },
--- a/packages/magnoliabay/src/node/backend/relay.ts
+++ b/packages/magnoliabay/src/node/backend/relay.ts
@@ -3,26 +3,26 @@
  */
 import type { ServerResponse } from 'node:http'
 import type { Dispatcher } from 'undici'
-import { mayHaveRun } from '../failures'
-import type { ExchangeRequest } from './exchange'
+import { createIndeterminateFailure } from '../failures'
+import type { ExchangeRequest } from './httpExchange'
 import { PRIORITY_HEADER, REQUEST_ID_HEADER } from './protocol'
-import { failedResult, runPart } from './relayPart'
-import type { PartResult } from './relayPart'
-import { relayWhole } from './relayWhole'
-import { createStreamState } from './relayStream'
-import type { StreamState } from './relayStream'
+import { failedResult, runPart } from './relayConnection'
+import type { PartResult } from './relayConnection'
+import { relayWhole } from './relayBuffered'
+import { createStreamState } from './relayStreamState'
+import type { StreamState } from './relayStreamState'
 import type { RelayOptions, RelayRequest, RelayResult, Relayed } from './relayTypes'
 
 /** Connections that one broken stream may be continued on. */
 const MAX_RESUMES = 2
 
 export async function relayCompletion (options: RelayOptions, req: RelayRequest, res: ServerResponse, onFirstByte: () => void): Promise<RelayResult> {
-  const first = await attemptOn(options, options.pools.of(req.address), req, req.engineRequestId, res, onFirstByte)
-  if (first.kind !== 'failed' || !first.isConnectionSuspect || req.signal.aborted || !req.mayRetry()) return first.result
+  const first = await attemptOn(options, options.connectionPools.of(req.address), req, req.engineRequestId, res, onFirstByte)
+  if (first.kind !== 'failed' || !first.isConnectionSuspect || req.signal.aborted || !req.tryTakeRetry()) return first.result
   // The pooled connection may have gone silent, been closed meanwhile, or carried another request's answer,
   // while new ones work: the caller would wait out its deadline. One try on a connection that nobody has used
   // tells a bad connection from a bad engine.
-  const fresh = options.pools.fresh(req.address)
+  const fresh = options.connectionPools.createUnpooled(req.address)
   try {
     const second = await attemptOn(options, fresh, req, `${req.engineRequestId}.fresh`, res, onFirstByte)
     // The engine being unreachable now says no more about it than the first try did.
@@ -39,14 +39,14 @@
 }
 
 async function attemptOn (options: RelayOptions, dispatcher: Dispatcher, req: RelayRequest, engineRequestId: string, res: ServerResponse, onFirstByte: () => void): Promise<Attempted> {
-  const { trail } = req
-  trail.note('send')
+  const { execution: trail } = req
+  trail.record('send')
   const attempt = { ...req, engineRequestId }
   const result = req.isStream
     ? await relayStreamed(options, dispatcher, attempt, res, onFirstByte)
     : await relayWhole(options, dispatcher, attempt, exchangeRequestOf(options, attempt), res, onFirstByte)
-  trail.note(result.relayed.kind === 'not-run' || result.relayed.kind === 'refused' ? 'disclaim' : 'lose')
-  if (result.part.isLeftRunning) options.engines.cancel(req.address, engineRequestId)
+  trail.record(result.relayed.kind === 'not-run' || result.relayed.kind === 'refused' ? 'disclaim' : 'lose')
+  if (result.part.isLeftRunning) options.engineClient.cancel(req.address, engineRequestId)
   return { kind: result.relayed.kind, result: result.relayed, isConnectionSuspect: result.part.isConnectionSuspect }
 }
 
@@ -68,7 +68,7 @@
 }
 
 async function resumePart (options: RelayOptions, req: RelayRequest, stream: StreamState): Promise<PartResult> {
-  const fresh = options.pools.fresh(req.address)
+  const fresh = options.connectionPools.createUnpooled(req.address)
   stream.restart()
   const path = `/control/resume?request=${encodeURIComponent(req.engineRequestId)}&from=${stream.next()}`
   const { engineGapMs } = options.limits
@@ -99,7 +99,7 @@
 
 function resultOf (part: PartResult, stream: StreamState): RelayResult {
   if (part.kind === 'done') return { kind: 'answered', usedTokens: stream.usedTokens() }
-  if (part.kind === 'stopped') return { kind: 'stopped', failure: mayHaveRun('backend_failed', part.message), isBroken: false }
-  if (stream.isStarted()) return { kind: 'cut', failure: mayHaveRun('answer_cut', part.message), isBroken: part.isDead }
+  if (part.kind === 'stopped') return { kind: 'stopped', failure: createIndeterminateFailure('backend_failed', part.message), isConnectionBroken: false }
+  if (stream.isStarted()) return { kind: 'cut', failure: createIndeterminateFailure('answer_cut', part.message), isConnectionBroken: part.isDead }
   return failedResult(part)
 }
--- a/packages/magnoliabay/src/node/backend/relayWhole.ts
+++ b/packages/magnoliabay/src/node/backend/relayBuffered.ts
@@ -1,12 +1,12 @@
 /** An answer that comes in one body: checked as a whole before a byte of it goes to the caller. */
 import type { ServerResponse } from 'node:http'
 import type { Dispatcher } from 'undici'
-import { startExchange } from './exchange'
-import type { ExchangeRequest } from './exchange'
+import { startExchange } from './httpExchange'
+import type { ExchangeRequest } from './httpExchange'
 import { REQUEST_ID_HEADER } from './protocol'
-import { addErrorText, createHead, describe, failedResult, readHead, untilEnded } from './relayPart'
+import { addErrorText, createHead, describe, failedResult, readHead, untilEnded } from './relayConnection'
 import type { RelayOptions, RelayRequest, Relayed } from './relayTypes'
-import { parseObject, usedTokensOf } from './usage'
+import { parseJsonObject, parseUsedTokens } from './tokenUsage'
 
 const HTTP_OK = 200
 /** A longer answer is given up: a runaway engine must not take this instance's memory. */
@@ -35,11 +35,11 @@
   const text = Buffer.concat(chunks).toString('utf8')
   // A body without a length ends with its connection, so that a cut one looks complete: only JSON that
   // parses is whole.
-  const isWhole = end.kind === 'complete' && head.status === HTTP_OK && parseObject(text) !== undefined
+  const isWhole = end.kind === 'complete' && head.status === HTTP_OK && parseJsonObject(text) !== undefined
   const part = describe(end, head, isWhole, req.signal, problem)
   if (!isWhole) return { relayed: failedResult(part), part }
   onFirstByte()
   res.writeHead(HTTP_OK, { 'content-type': 'application/json', [REQUEST_ID_HEADER]: req.requestId })
   res.end(text)
-  return { relayed: { kind: 'answered', usedTokens: usedTokensOf(text) }, part }
+  return { relayed: { kind: 'answered', usedTokens: parseUsedTokens(text) }, part }
 }
--- a/packages/magnoliabay/src/node/backend/relayPart.ts
+++ b/packages/magnoliabay/src/node/backend/relayConnection.ts
@@ -1,10 +1,10 @@
 /** One connection's share of a streamed answer. */
 import type { Dispatcher } from 'undici'
-import { mayHaveRun, refusal } from '../failures'
-import { startExchange } from './exchange'
-import type { ExchangeEnd, ExchangeRequest, ResponseHeaders } from './exchange'
+import { createIndeterminateFailure, createRefusal } from '../failures'
+import { startExchange } from './httpExchange'
+import type { HttpExchangeEnd, ExchangeRequest, ResponseHeaders } from './httpExchange'
 import { NOT_RUN_HEADER, REQUEST_ID_HEADER } from './protocol'
-import type { StreamState } from './relayStream'
+import type { StreamState } from './relayStreamState'
 import type { RelayOptions, RelayRequest, RelayResult } from './relayTypes'
 
 const HTTP_OK = 200
@@ -86,7 +86,7 @@
 }
 
 /** Waits for the end; an abort of the request stops the exchange. */
-export async function untilEnded (exchange: { ended: Promise<ExchangeEnd>, stop: (message: string) => void }, signal: AbortSignal): Promise<ExchangeEnd> {
+export async function untilEnded (exchange: { ended: Promise<HttpExchangeEnd>, stop: (message: string) => void }, signal: AbortSignal): Promise<HttpExchangeEnd> {
   const onAbort = (): void => exchange.stop('The request was given up.')
   if (signal.aborted) onAbort()
   signal.addEventListener('abort', onAbort, { once: true })
@@ -99,7 +99,7 @@
   if (head.errorText.length < MAX_ERROR_TEXT_BYTES) head.errorText += chunk.toString('utf8').slice(0, MAX_ERROR_TEXT_BYTES)
 }
 
-export function describe (end: ExchangeEnd, head: Head, isDone: boolean, signal: AbortSignal, problem: string): PartResult {
+export function describe (end: HttpExchangeEnd, head: Head, isDone: boolean, signal: AbortSignal, problem: string): PartResult {
   const result: PartResult = {
     kind: 'broken',
     message: problem || end.message || 'The engine ended the answer before it was whole.',
@@ -120,9 +120,9 @@
 
 /** What a part that gave the caller nothing comes to. */
 export function failedResult (part: PartResult): RelayResult {
-  if (part.kind === 'stopped') return { kind: 'stopped', failure: mayHaveRun('backend_failed', part.message), isBroken: false }
-  if (part.isNotRun && part.status === HTTP_TOO_MANY) return { kind: 'refused', failure: refusal('overloaded', part.message, 1) }
-  if (part.isNotRun && REQUEST_AT_FAULT.has(part.status)) return { kind: 'refused', failure: refusal('bad_request', part.message) }
-  if (part.isNotRun) return { kind: 'not-run', failure: refusal('backend_failed', part.message, 1) }
-  return { kind: 'failed', failure: mayHaveRun('backend_failed', part.message), isBroken: part.isDead }
+  if (part.kind === 'stopped') return { kind: 'stopped', failure: createIndeterminateFailure('backend_failed', part.message), isConnectionBroken: false }
+  if (part.isNotRun && part.status === HTTP_TOO_MANY) return { kind: 'refused', failure: createRefusal('overloaded', part.message, 1) }
+  if (part.isNotRun && REQUEST_AT_FAULT.has(part.status)) return { kind: 'refused', failure: createRefusal('bad_request', part.message) }
+  if (part.isNotRun) return { kind: 'not-run', failure: createRefusal('backend_failed', part.message, 1) }
+  return { kind: 'failed', failure: createIndeterminateFailure('backend_failed', part.message), isConnectionBroken: part.isDead }
 }
--- a/packages/magnoliabay/src/node/backend/relayStream.ts
+++ b/packages/magnoliabay/src/node/backend/relayStreamState.ts
@@ -4,7 +4,7 @@
 import type { RelayOptions, RelayRequest } from './relayTypes'
 import { createEventScanner } from './sse'
 import type { StreamProblem } from './sse'
-import { usedTokensOf } from './usage'
+import { parseUsedTokens } from './tokenUsage'
 
 export interface StreamState {
   isStarted (): boolean
@@ -39,7 +39,7 @@
   return {
     isStarted: caller.isStarted,
     next: scanner.next,
-    usedTokens: () => usedTokensOf(scanner.lastData()),
+    usedTokens: () => parseUsedTokens(scanner.lastData()),
     restart: scanner.restart,
     push: chunk => {
       const { events, isDone, problem } = scanner.push(chunk)
--- a/packages/magnoliabay/src/node/backend/relayTypes.ts
+++ b/packages/magnoliabay/src/node/backend/relayTypes.ts
@@ -1,9 +1,9 @@
 /** What relaying a completion takes, and what it comes to. */
 import type { Clock } from '../clock'
 import type { Failure } from '../failures'
-import type { Trail } from '../outcomes'
-import type { EngineClient, Pools } from './engineClient'
-import type { PartResult } from './relayPart'
+import type { ExecutionTracker } from '../outcomes'
+import type { EngineClient, ConnectionPools } from './engineClient'
+import type { PartResult } from './relayConnection'
 
 export interface RelayLimits {
   /** Longest silence before the first byte of a streamed answer, milliseconds. */
@@ -17,8 +17,8 @@
 }
 
 export interface RelayOptions {
-  pools: Pools
-  engines: Pick<EngineClient, 'cancel'>
+  connectionPools: ConnectionPools
+  engineClient: Pick<EngineClient, 'cancel'>
   clock: Clock
   limits: RelayLimits
 }
@@ -35,9 +35,9 @@
   body: Buffer
   isStream: boolean
   signal: AbortSignal
-  trail: Trail
+  execution: ExecutionTracker
   /** Asked before the request is sent again on a fresh connection. */
-  mayRetry: () => boolean
+  tryTakeRetry: () => boolean
 }
 
 /**
@@ -48,7 +48,7 @@
 export type RelayResult =
   | { kind: 'answered', usedTokens?: number }
   | { kind: 'not-run' | 'refused', failure: Failure }
-  | { kind: 'failed' | 'cut' | 'stopped', failure: Failure, isBroken: boolean }
+  | { kind: 'failed' | 'cut' | 'stopped', failure: Failure, isConnectionBroken: boolean }
 
 export interface Relayed {
   relayed: RelayResult
--- a/packages/magnoliabay/src/node/backend/serviceCall.ts
+++ b/packages/magnoliabay/src/node/backend/serviceCall.ts
@@ -1,10 +1,10 @@
 /** One call of a plain service, answered in full or not at all. */
 import type { Clock } from '../clock'
-import type { Pools } from './engineClient'
-import { startExchange } from './exchange'
-import type { ExchangeRequest, HttpMethod, ResponseHeaders } from './exchange'
+import type { ConnectionPools } from './engineClient'
+import { startExchange } from './httpExchange'
+import type { ExchangeRequest, HttpMethod, ResponseHeaders } from './httpExchange'
 import { NOT_RUN_HEADER, REQUEST_ID_HEADER } from './protocol'
-import { untilEnded } from './relayPart'
+import { untilEnded } from './relayConnection'
 
 export interface ServiceCallRequest {
   address: string
@@ -14,13 +14,13 @@
   body: Buffer
   requestId: string
   /** Longest wait for the answer, and longest silence within it, milliseconds. */
-  answerMs: number
+  responseTimeoutMs: number
   /** The call may be repeated without harm. */
   isIdempotent: boolean
   signal: AbortSignal
 }
 
-export interface ServiceAnswer {
+export interface ServiceResponse {
   status: number
   contentType: string
   body: Buffer
@@ -31,13 +31,13 @@
  * `lost`: it may have run. `stopped`: given up by the caller's side; `isSent` tells whether it may have run.
  */
 export type ServiceCallResult =
-  | { kind: 'answered', answer: ServiceAnswer }
+  | { kind: 'answered', answer: ServiceResponse }
   | { kind: 'not-run', message: string, isLeaving: boolean }
   | { kind: 'lost', message: string }
   | { kind: 'stopped', isSent: boolean }
 
 export interface ServiceCallOptions {
-  pools: Pools
+  connectionPools: ConnectionPools
   clock: Clock
 }
 
@@ -45,11 +45,11 @@
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream'
 const HTTP_UNAVAILABLE = 503
 
-export async function callPlainService (options: ServiceCallOptions, req: ServiceCallRequest): Promise<ServiceCallResult> {
-  if (req.isIdempotent) return await callOver(options, req, options.pools.of(req.address))
+export async function callService (options: ServiceCallOptions, req: ServiceCallRequest): Promise<ServiceCallResult> {
+  if (req.isIdempotent) return await callOver(options, req, options.connectionPools.of(req.address))
   // On a kept connection nobody can tell whether a call that met its closing was read by the service. On a
   // new one either the connection fails, and nothing was sent, or the call may have run: no third case.
-  const fresh = options.pools.fresh(req.address)
+  const fresh = options.connectionPools.createUnpooled(req.address)
   try {
     return await callOver(options, req, fresh)
   } finally {
@@ -92,7 +92,7 @@
 }
 
 function exchangeOf (req: ServiceCallRequest): ExchangeRequest {
-  const { method, path, body, answerMs } = req
+  const { method, path, body, responseTimeoutMs: answerMs } = req
   return {
     method,
     path,
--- a/packages/magnoliabay/src/node/cells/__tests__/audience.spec.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/loadSubscribers.spec.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { createVirtualClock } from '../../clock/virtual'
-import { createAudience } from '../audience'
+import { createAudience } from '../loadSubscribers'
 
 const startAudience = () => {
   const clock = createVirtualClock()
--- a/packages/magnoliabay/src/node/cells/__tests__/support/directEngines.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/directEngines.ts
@@ -15,9 +15,9 @@
     order: async (address, order, timeoutMs) => {
       const engine = of(address)
       if (engine === undefined) return Err(UNREACHABLE)
-      const { orderAnswer, orderAnswerDelayMs } = engine.faults.now
-      const carriedOut = engine.carryOut(order)
-      if (orderAnswer === 'twice') engine.carryOut(order)
+      const { orderAnswer, orderAnswerDelayMs } = engine.faults.current
+      const carriedOut = engine.executeOrder(order)
+      if (orderAnswer === 'twice') engine.executeOrder(order)
       const answer = carriedOut.then(async reply => {
         if (orderAnswer === 'late') await sleep(clock, orderAnswerDelayMs)
         if (orderAnswer === 'never') await sleep(clock, timeoutMs)
--- a/packages/magnoliabay/src/node/cells/__tests__/support/invariants.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/invariants.ts
@@ -1,6 +1,6 @@
 /** What must hold at every step, by the stand-in engines' own account, and callers to settle. */
 import { expect } from 'chai'
-import { chargedMiB } from '../../account'
+import { chargedMiB } from '../../engineAccount'
 import type { World } from './world'
 
 /** Each model with the most replicas that may be decided for it. */
@@ -11,7 +11,7 @@
   Object.entries(decided).forEach(([model, most]) => {
     expect(held.filter(name => name === model).length, `replicas of ${model}`).to.be.at.most(most)
   })
-  const accounts = world.steward()?.cells.stewards().flatMap(steward => steward.accounts()) ?? []
+  const accounts = world.steward()?.cells.localLeaders().flatMap(steward => steward.accounts()) ?? []
   world.engines.forEach(engine => {
     expect(engine.records().overcommitAttempts, `overcommits of ${engine.id}`).to.deep.equal([])
     const { incarnation, usedMiB } = engine.state()
@@ -30,7 +30,7 @@
   const deadlineMs = world.clock.monotonic() + patienceMs
   const caller: Caller = { outcome: 'open', instance, deadlineMs }
   const settle = async (): Promise<void> => {
-    const route = await world.instance(instance).routing.acquire({ name: model, deadlineMs, avoid: new Set(), signal: new AbortController().signal })
+    const route = await world.instance(instance).routing.acquireReplica({ modelOrAdapter: model, deadlineMs, excludedEngines: new Set(), signal: new AbortController().signal })
     caller.outcome = route.ok ? 'served' : route.val.code
     if (route.ok) route.val.release()
   }
--- a/packages/magnoliabay/src/node/cells/__tests__/support/world.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/world.ts
@@ -3,7 +3,7 @@
  * over the stand-ins' states, with peers in memory. Any instance can be paused, killed and replaced.
  */
 import {
-  createDirectInstanceList, createDirectStore, createEngineState, createInstanceListState, createKvFaults, createKvState, createWeightStore
+  createDirectInstanceList, createDirectStore, createEngineStandIn, createInstanceListState, createKvFaults, createKvState, createWeightStore
 } from '@magnoliabay/standins'
 import type {
   EngineOptions, EngineStandIn, FaultSwitches, InstanceListState, KvFaults, KvState, WeightStore, WeightStoreOptions
@@ -12,17 +12,17 @@
 import { createCells } from '../..'
 import type { Cells } from '../..'
 import type { CellsConfig } from '../../context'
-import { createDirectory } from '../../../backend/directory'
+import { createBackendDirectory } from '../../../backend/directory'
 import type { VirtualClock } from '../../../clock/virtual'
 import { fleetSchema } from '../../../config/fleet'
-import type { ConfigHolder } from '../../../config'
+import type { ConfigProvider } from '../../../config'
 import type { Logger } from '../../../logger'
-import { createProofKeeper } from '../../../members'
-import type { MemberRecord, ProofKeeper } from '../../../members'
+import { createTerminationDetector } from '../../../members'
+import type { MemberRecord, TerminationDetector } from '../../../members'
 import { createMemoryNetwork } from '../../../members/memoryNetwork'
 import type { MemoryNetwork } from '../../../members/memoryNetwork'
-import { createRouting } from '../../../routing'
-import type { Routing } from '../../../routing'
+import { createReplicaRouter } from '../../../routing'
+import type { ReplicaRouter } from '../../../routing'
 import { createDirectEngineClient } from './directEngines'
 import { createFastClock } from './fastClock'
 import { createPausable } from './pausable'
@@ -44,8 +44,8 @@
   readonly id: string
   readonly member: MemberRecord
   readonly cells: Cells
-  readonly routing: Routing
-  readonly proofs: ProofKeeper
+  readonly routing: ReplicaRouter
+  readonly proofs: TerminationDetector
   /** Stops the process where it is; its lease lapses. */
   pause (): void
   /** Lets it go on, and register anew. */
@@ -91,7 +91,7 @@
   const weights = createWeightStore({ clock, ...options.weights })
   const running = new Map<string, WorldInstance>()
   const domainOf = (index: number): string => DOMAINS[index % DOMAINS.length]!
-  const engines = Array.from({ length: options.engines ?? 3 }, (_, index) => createEngineState({
+  const engines = Array.from({ length: options.engines ?? 3 }, (_, index) => createEngineStandIn({
     id: `engine-${index + 1}`, clock, weights, memoryMiB: ENGINE_MIB, ...options.engine, ...options.engineOf?.(index)
   }))
   engines.forEach((engine, index) => {
@@ -99,8 +99,8 @@
     list.set({ id: engine.id, role: 'engine', address: engine.id, failureDomain: domainOf(index), region: 'r', status: 'live', checksFence, memoryMiB })
   })
   const fleet = v.parse(fleetSchema, options.fleet)
-  const cfg: CellsConfig & Pick<ConfigHolder, 'team'> = {
-    inForce: () => ({ version: 1, documents: [], fleet }),
+  const cfg: CellsConfig & Pick<ConfigProvider, 'team'> = {
+    active: () => ({ version: 1, documents: [], fleet }),
     model: name => fleet.model.find(model => model.name === name),
     team: name => fleet.team.find(team => team.name === name),
     adapter: name => fleet.adapter.find(adapter => adapter.name === name)
@@ -127,8 +127,8 @@
     const peers = network.join(member)
     const stop = new AbortController()
     const ownStore = pausable.store(createDirectStore(kv, { clock, faults: store, caller: id }))
-    const proofs = createProofKeeper({ peers, clock: pausable.clock, logger })
-    const directory = createDirectory({ list: createDirectInstanceList(list), clock: pausable.clock, logger, onRead: proofs.noteList })
+    const proofs = createTerminationDetector({ peers, clock: pausable.clock, logger })
+    const directory = createBackendDirectory({ list: createDirectInstanceList(list), clock: pausable.clock, logger, onRead: proofs.observeInstanceList })
     let isRegistered = true
     const cells = createCells({
       store: ownStore,
@@ -157,13 +157,13 @@
       id,
       member,
       cells,
-      routing: createRouting({ cells, cfg, directory, clock: pausable.clock }),
+      routing: createReplicaRouter({ cells, cfg, directory, clock: pausable.clock }),
       proofs,
       pause: () => {
         pausable.pause()
         isRegistered = false
         network.setRegistered(id, false)
-        others(id).forEach(other => network.cut(id, other))
+        others(id).forEach(other => network.partition(id, other))
       },
       resume: () => {
         others(id).forEach(other => network.heal(id, other))
@@ -174,17 +174,17 @@
       kill: end,
       leave: async () => {
         member.leaving = true
-        await cells.handOver()
-        others(id).forEach(other => running.get(other)?.proofs.noteGoodbye(member))
+        await cells.resign()
+        others(id).forEach(other => running.get(other)?.proofs.recordGoodbye(member))
         end()
       }
     }
     running.set(id, instance)
     return instance
   }
-  const fenceOf = (instance: WorldInstance): number => Math.max(...instance.cells.stewards().map(steward => steward.fence))
+  const fenceOf = (instance: WorldInstance): number => Math.max(...instance.cells.localLeaders().map(steward => steward.fence))
   Array.from({ length: options.instances ?? 3 }, (_, index) => add(`entry-${index + 1}`))
-  list.catchUp()
+  list.flush()
 
   return {
     clock,
@@ -198,7 +198,7 @@
     instances: () => [...running.values()],
     instance: id => running.get(id)!,
     steward: () => [...running.values()]
-      .filter(instance => instance.cells.stewards().length > 0)
+      .filter(instance => instance.cells.localLeaders().length > 0)
       .sort((left, right) => fenceOf(right) - fenceOf(left))[0],
     reclaim: id => {
       list.remove(id)
--- a/packages/magnoliabay/src/node/cells/adapterCare.ts
+++ b/packages/magnoliabay/src/node/cells/adapterLoader.ts
@@ -1,14 +1,14 @@
 /** Loads the adapters that are waited for, wherever their model is loaded, within the cell's share of loads in flight. */
 import type { AdapterConfig } from '../config/fleet'
-import { freeMiB } from './account'
-import type { AdapterCharge, EngineAccount } from './account'
-import type { StewardContext } from './context'
+import { freeMiB } from './engineAccount'
+import type { AdapterCharge, EngineAccount } from './engineAccount'
+import type { CellLeaderContext } from './context'
 import type { ReplicaOps } from './replicaOps'
-import type { Slots } from './slots'
-import type { Wants } from './wants'
+import type { Slots } from './loadLimiter'
+import type { Wants } from './pendingDemand'
 
 export interface AdapterCareOptions {
-  ctx: StewardContext
+  ctx: CellLeaderContext
   ops: ReplicaOps
   wants: Wants
   slots: Slots
--- a/packages/magnoliabay/src/node/cells/loadCare.ts
+++ b/packages/magnoliabay/src/node/cells/autoscaler.ts
@@ -1,10 +1,10 @@
 /** Reads the engines' lagging load reports, tells them to everybody, and says how many replicas the load needs. */
-import { loadedReplicas } from './account'
-import type { EngineAccount } from './account'
-import type { StewardContext } from './context'
+import { loadedReplicas } from './engineAccount'
+import type { EngineAccount } from './engineAccount'
+import type { CellLeaderContext } from './context'
 
 export interface LoadCareOptions {
-  ctx: StewardContext
+  ctx: CellLeaderContext
   onLoads: (loads: Readonly<Record<string, number>>) => void
 }
 
--- a/packages/magnoliabay/src/node/cells/steward.ts
+++ b/packages/magnoliabay/src/node/cells/cellLeader.ts
@@ -1,41 +1,41 @@
 /**
  * The steward of a cell: it alone decides replicas there, keeps the memory account and sends orders.
  */
-import type { Directory } from '../backend/directory'
+import type { BackendDirectory } from '../backend/directory'
 import type { EngineClient } from '../backend/engineClient'
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
 import type { Peers } from '../members'
 import type { ListedInstance, Store } from '../store'
-import type { EngineAccount } from './account'
-import { loadedReplicas } from './account'
-import { createAdapterCare } from './adapterCare'
-import type { CellsConfig, StewardContext } from './context'
-import { createEngineCare, isUsable } from './engineCare'
-import { createGapHistory } from './idle'
-import type { SavedHistory } from './idle'
-import { createIdleCare } from './idleCare'
+import type { EngineAccount } from './engineAccount'
+import { loadedReplicas } from './engineAccount'
+import { createAdapterCare } from './adapterLoader'
+import type { CellsConfig, CellLeaderContext } from './context'
+import { createEngineCare, isUsable } from './engineReconciler'
+import { createGapHistory } from './keepAlivePolicy'
+import type { SavedHistory } from './keepAlivePolicy'
+import { createIdleCare } from './idleEviction'
 import { createIntents } from './intents'
-import { createLoadCare } from './loadCare'
+import { createLoadCare } from './autoscaler'
 import { createLoadTimes } from './loadTimes'
-import { createOrderSender } from './orders'
+import { createOrderSender } from './orderSender'
 import { quotaOfCell } from './quota'
 import { cellOf, historyKey, tableNotice } from './records'
 import type { Demand, DemandReply, Intent, LoadNotice, ReplicaEntry, ReplicaTable, UsageReport } from './records'
-import { createRemembered } from './remembered'
+import { createRemembered } from './inheritedReplicas'
 import { createReplicaOps } from './replicaOps'
 import { createScheduler } from './scheduler'
-import { createSlots } from './slots'
-import { createShareHolder } from './storeShare'
-import type { StoreShare } from './storeShare'
-import { createWants } from './wants'
+import { createSlots } from './loadLimiter'
+import { createShareHolder } from './weightStoreShare'
+import type { StoreShare } from './weightStoreShare'
+import { createWants } from './pendingDemand'
 
 export interface StewardOptions {
   cell: string
   /** Modification revision of the steward key when it was claimed. */
   fence: number
   store: Store
-  directory: Directory
+  directory: BackendDirectory
   engines: EngineClient
   cfg: CellsConfig
   peers: Peers
@@ -53,7 +53,7 @@
   onSuperseded: (reason: string) => void
 }
 
-export interface Steward {
+export interface CellLeader {
   readonly cell: string
   readonly fence: number
   demand (req: Omit<Demand, 'cell'>): DemandReply
@@ -71,7 +71,7 @@
 /** What the weight store gives to all cells together. */
 export function totalOf (cfg: CellsConfig): () => StoreShare {
   return () => {
-    const { fullSpeedLoads, loadsPerSecond } = cfg.inForce().fleet.weightStore
+    const { fullSpeedLoads, loadsPerSecond } = cfg.active().fleet.weightStore
     return { slots: fullSpeedLoads, perSecond: loadsPerSecond }
   }
 }
@@ -79,7 +79,7 @@
 /** How often what was learned about gaps is saved. */
 const SAVE_PERIOD_MS = 60_000
 
-export function createSteward (options: StewardOptions): Steward {
+export function createCellLeader (options: StewardOptions): CellLeader {
   const { cell, fence, store, clock, peers, cfg, directory } = options
   const logger = options.logger.with({ cell, fence })
   const accounts = new Map<string, EngineAccount>()
@@ -121,22 +121,22 @@
     options.onSuperseded(reason)
   }
   const listed = (): ListedInstance[] => {
-    const { cells } = cfg.inForce().fleet
+    const { cells } = cfg.active().fleet
     return directory.engines().filter(engine => cellOf(engine.id, cells) === cell)
   }
 
   const isStopped = (): boolean => stopped
   const intents = createIntents({ cell, fence, store, peers, logger })
   const sender = createOrderSender({ directory, engines: options.engines, clock, logger, isStopped, isKept: engine => accounts.has(engine) })
-  const ctx: StewardContext = {
+  const ctx: CellLeaderContext = {
     cell, fence, clock, logger, cfg, directory, engines: options.engines, intents, sender, times: createLoadTimes(), accounts, isStopped, supersede, publish
   }
   const ops = createReplicaOps(ctx)
-  const { cells } = cfg.inForce().fleet
+  const { cells } = cfg.active().fleet
   const storeShare = createShareHolder({ clock, cells, total: totalOf(cfg), ask: options.askStoreShare })
   const storeSlots = createSlots({ clock, limit: () => storeShare.current().slots, perSecond: () => storeShare.current().perSecond })
   // Adapters load in milliseconds: no time to ask, and a fixed part is seldom full.
-  const adapterSlots = createSlots({ clock, limit: () => Math.max(1, Math.floor(cfg.inForce().fleet.weightStore.adaptersInFlight / cells)) })
+  const adapterSlots = createSlots({ clock, limit: () => Math.max(1, Math.floor(cfg.active().fleet.weightStore.adaptersInFlight / cells)) })
   const loadCare = createLoadCare({ ctx, onLoads: loads => options.onLoads({ cell, loads }) })
   const scheduler = createScheduler({
     ctx,
@@ -145,7 +145,7 @@
     history,
     storeSlots,
     noteStoreWanted: storeShare.noteWanting,
-    quotaOf: model => quotaOfCell(model, cell, cfg.inForce().fleet.cells),
+    quotaOf: model => quotaOfCell(model, cell, cfg.active().fleet.cells),
     targetOf: loadCare.targetOf,
     rememberedOf: model => remembered.countOf(model),
     engineOf: directory.engine
--- a/packages/magnoliabay/src/node/cells/cells.ts
+++ b/packages/magnoliabay/src/node/cells/cells.ts
@@ -1,32 +1,32 @@
 /**
  * Cells on this instance: claims stewardship where it may, and passes demand to stewards.
  */
-import type { Directory } from '../backend/directory'
+import type { BackendDirectory } from '../backend/directory'
 import type { EngineClient } from '../backend/engineClient'
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
 import type { Logger } from '../logger'
-import type { MemberRecord, Membership, Peers, ProofKeeper } from '../members'
+import type { MemberRecord, Membership, Peers, TerminationDetector } from '../members'
 import type { Store } from '../store'
-import { createReach } from '../members'
+import { createReachabilityProbe } from '../members'
 import { parseJson, rankByRendezvous } from '../utils'
-import { createAudience } from './audience'
+import { createAudience } from './loadSubscribers'
 import { NOBODY, createClaimer, decideClaim } from './claim'
 import type { Holding } from './claim'
 import type { CellsConfig } from './context'
 import { createHeldIntents } from './intents'
 import { cellsOfModel, quotaOfCell } from './quota'
 import { CELLS_PREFIX, cellNames, cellOf, demandCall, loadNotice, releaseCall, tableNotice, tablesCall, usageNotice } from './records'
-import type { Demand, DemandReply, FormerHolder, ReleaseReply, ReleaseRequest, StewardRecord } from './records'
-import { createReplicas } from './replicas'
-import type { Replicas } from './replicas'
-import { createSteward, totalOf } from './steward'
-import type { Steward } from './steward'
-import { createShareKeeper, storeShareCall } from './storeShare'
-import type { StoreShare } from './storeShare'
-import { createUsage } from './usage'
+import type { Demand, DemandReply, FormerLeader, ReleaseReply, ReleaseRequest, CellLeaderRecord } from './records'
+import { createReplicaRegistry } from './replicaRegistry'
+import type { ReplicaRegistry } from './replicaRegistry'
+import { createCellLeader, totalOf } from './cellLeader'
+import type { CellLeader } from './cellLeader'
+import { createShareKeeper, storeShareCall } from './weightStoreShare'
+import type { StoreShare } from './weightStoreShare'
+import { createUsage } from './usageReporter'
 
-const TEND_PERIOD_MS = 500
+const MAINTENANCE_PERIOD_MS = 500
 const USAGE_PERIOD_MS = 1000
 /** The member ranked next for a cell waits this much longer before it claims it. */
 const RANK_DELAY_MS = 2000
@@ -37,8 +37,8 @@
   store: Store
   peers: Peers
   membership: Pick<Membership, 'leaseId' | 'isRegistered'>
-  proofs: ProofKeeper
-  directory: Directory
+  proofs: TerminationDetector
+  directory: BackendDirectory
   engines: EngineClient
   cfg: CellsConfig
   clock: Clock
@@ -49,27 +49,27 @@
 export type LocalDemand = Omit<Demand, 'cell'>
 
 export interface Cells {
-  readonly replicas: Replicas
+  readonly replicas: ReplicaRegistry
   /** Tells the stewards what requests wait for. Any number of calls leads to one load. */
-  demand (req: LocalDemand): Promise<DemandReply>
+  requestReplica (req: LocalDemand): Promise<DemandReply>
   /** Notes that a model, and an adapter of it, was used, for the stewards' idle decisions. */
-  noteUsed (model: string, adapter?: string): void
-  stewardOf (cell: string): string | undefined
+  recordUse (model: string, adapter?: string): void
+  leaderOf (cell: string): string | undefined
   /** The stewards that run here. */
-  stewards (): readonly Steward[]
+  localLeaders (): readonly CellLeader[]
   /** Load of an engine as its steward last told, requests. */
   loadOf (engine: string): number
   start (signal: AbortSignal): void
   /** Gives up what this instance is steward of. */
-  handOver (): Promise<void>
+  resign (): Promise<void>
 }
 
 export function createCells (options: CellsOptions): Cells {
   const { store, peers, membership, proofs, cfg, clock, logger, directory } = options
-  const replicas = createReplicas()
+  const replicas = createReplicaRegistry()
   const holdings = new Map<string, Holding>()
   const claimableSinceMs = new Map<string, number>()
-  const mine = new Map<string, Steward>()
+  const mine = new Map<string, CellLeader>()
   /** Holdings of others that will send nothing any more, by their own word. */
   const released = new Set<string>()
   /** Up to which fencing number this process has given a cell away: a claim that it learns of late is not taken up. */
@@ -80,19 +80,19 @@
   const audience = createAudience(peers, clock)
   /** Cells that a claim is being weighed for: asking others takes longer than a period. */
   const claiming = new Set<string>()
-  const reach = createReach(peers)
+  const reach = createReachabilityProbe(peers)
   const usage = createUsage({ peers, replicas, stewardOf: cell => holdings.get(cell)?.record?.holder?.id })
   let hasSnapshot = false
   let givingUp = false
 
-  const cellCount = (): number => cfg.inForce().fleet.cells
+  const cellCount = (): number => cfg.active().fleet.cells
   /** Among those that may claim the cell; the holder that is to be replaced is none of them. */
   const rankOfSelf = (cell: string, holder: string | undefined): number => {
     const candidates = peers.members().filter(member => !member.leaving && member.id !== holder).map(member => member.id)
     return rankByRendezvous(cell, candidates, id => id).indexOf(peers.self.id)
   }
   const releaseName = (cell: string, fence: number): string => `${cell} ${fence}`
-  const isAccountedFor = (cell: string, holder: FormerHolder): boolean =>
+  const isAccountedFor = (cell: string, holder: FormerLeader): boolean =>
     released.has(releaseName(cell, holder.fence)) || holder.incarnation === peers.self.incarnation || proofs.proofFor(holder) !== undefined
   const shareKeeper = createShareKeeper(clock, totalOf(cfg))
   const askStoreShare = async (cell: string): Promise<StoreShare | undefined> => {
@@ -105,14 +105,14 @@
     const { record, modRevision: fence } = holding
     if (record === undefined || mine.has(cell) || givingUp || fence <= (givenAway.get(cell) ?? 0)) return
     logger.info('steward-claimed', { cell, fence, unproven: record.unproven.map(process => process.incarnation) })
-    mine.set(cell, createSteward({
+    mine.set(cell, createCellLeader({
       ...options,
       cell,
       fence,
       before: replicas.tables().find(table => table.cell === cell),
       askStoreShare: () => askStoreShare(cell),
       areAllAccountedFor: () => record.unproven.every(former => isAccountedFor(cell, former)),
-      onTable: replicas.take,
+      onTable: replicas.applyTable,
       onLoads: notice => {
         loads.set(cell, notice.loads)
         audience.tell(notice)
@@ -120,7 +120,7 @@
       onSuperseded: () => { mine.delete(cell) }
     }))
   }
-  const askRelease = async (cell: string, holder: FormerHolder): Promise<boolean> => {
+  const askRelease = async (cell: string, holder: FormerLeader): Promise<boolean> => {
     if (!peers.isConnected(holder.member)) return false
     const reply = await peers.call(holder.member, releaseCall, { cell, incarnation: holder.incarnation, fence: holder.fence })
     if (reply.err || !reply.val.released) return false
@@ -135,7 +135,7 @@
     const holder = holding.record?.holder
     if (holder === undefined || holder.id === peers.self.id) return false
     if (peers.isConnected(holder.id) && rankOfSelf(cell, holder.id) >= ASKING_RANKS) return false
-    return await reach.isOutOfReach(holder.id)
+    return await reach.isUnreachable(holder.id)
   }
   const tryClaim = async (cell: string): Promise<void> => {
     const holding = holdings.get(cell) ?? NOBODY
@@ -165,7 +165,7 @@
     .filter(former => !isAccountedFor(cell, former))
     .forEach(former => { askRelease(cell, former) })
   const tend = (): void => {
-    if (givingUp || cfg.inForce().version === 0) return
+    if (givingUp || cfg.active().version === 0) return
     if (hasSnapshot && membership.leaseId() !== undefined && !peers.self.leaving) {
       const others = cellNames(cellCount()).filter(cell => !mine.has(cell) && !claiming.has(cell))
       others.forEach(cell => {
@@ -184,7 +184,7 @@
     holdings.set(cell, holding)
     heldIntents.noteFence(cell, holding.modRevision)
     const { record } = holding
-    if (record?.holder !== undefined) proofs.learn(record.holder)
+    if (record?.holder !== undefined) proofs.observeProcess(record.holder)
     const steward = mine.get(cell)
     if (steward !== undefined && steward.fence !== holding.modRevision) {
       logger.warn('steward-lost', { cell, to: record?.holder?.id })
@@ -196,7 +196,7 @@
   const noteEntry = (entry: { key: string, value: string, modRevision: number }): void => {
     const [cell, kind] = entry.key.slice(CELLS_PREFIX.length).split('/')
     if (cell === undefined || kind !== 'steward') return
-    const record = parseJson(entry.value) as StewardRecord | undefined
+    const record = parseJson(entry.value) as CellLeaderRecord | undefined
     if (record === undefined) return logger.error('steward-record-refused', { cell })
     setHolding(cell, { record, modRevision: entry.modRevision })
   }
@@ -210,7 +210,7 @@
       if (holder === undefined) continue
       const reply = await peers.call(holder.id, demandCall, { cell, ...req })
       last = reply.ok ? reply.val : { status: 'not-steward', reason: reply.val.message }
-      if (last.table !== undefined) replicas.take(last.table)
+      if (last.table !== undefined) replicas.applyTable(last.table)
       if (last.status !== 'not-steward' && last.status !== 'no-room') return last
     }
     return last
@@ -234,7 +234,7 @@
   peers.serve(demandCall, req => mine.get(req.cell)?.demand(req) ?? { status: 'not-steward', reason: 'not steward here' })
   peers.serve(releaseCall, release)
   peers.serve(tablesCall, () => replicas.tables())
-  peers.listen(tableNotice, replicas.take)
+  peers.listen(tableNotice, replicas.applyTable)
   peers.listen(loadNotice, notice => { loads.set(notice.cell, notice.loads) })
   peers.serve(storeShareCall, shareKeeper.shareOf)
   /** A notice of a table may be lost, and an unload with it: whoever goes by an old table is told the new one. */
@@ -245,15 +245,15 @@
   })
   peers.onConnected(async member => {
     const tables = await peers.call(member.id, tablesCall, null)
-    if (tables.ok) tables.val.forEach(replicas.take)
+    if (tables.ok) tables.val.forEach(replicas.applyTable)
   })
 
   return {
     replicas,
-    demand,
-    noteUsed: usage.note,
-    stewardOf: cell => holdings.get(cell)?.record?.holder?.id,
-    stewards: () => [...mine.values()],
+    requestReplica: demand,
+    recordUse: usage.note,
+    leaderOf: cell => holdings.get(cell)?.record?.holder?.id,
+    localLeaders: () => [...mine.values()],
     loadOf: engine => [...loads.values()].find(cell => cell[engine] !== undefined)?.[engine] ?? 0,
     start: signal => {
       store.watch(CELLS_PREFIX, {
@@ -264,10 +264,10 @@
         onEvent: event => { if (event.kind === 'put') noteEntry(event) }
       }, signal)
       signal.addEventListener('abort', () => mine.forEach(steward => steward.stop()), { once: true })
-      repeat(clock, TEND_PERIOD_MS, signal, tend)
+      repeat(clock, MAINTENANCE_PERIOD_MS, signal, tend)
       repeat(clock, USAGE_PERIOD_MS, signal, () => usage.report([...mine.values()]))
     },
-    handOver: async () => {
+    resign: async () => {
       givingUp = true
       const stewards = [...mine.values()]
       stewards.forEach(steward => steward.stop())
@@ -277,6 +277,6 @@
   }
 }
 
-function formerOf (holder: MemberRecord, fence: number): FormerHolder {
+function formerOf (holder: MemberRecord, fence: number): FormerLeader {
   return { member: holder.id, incarnation: holder.incarnation, fence }
 }
--- a/packages/magnoliabay/src/node/cells/claim.ts
+++ b/packages/magnoliabay/src/node/cells/claim.ts
@@ -2,15 +2,15 @@
  * Who may become steward of a cell, and the claim itself. Time alone never makes a steward: a holder whose lease
  * has lapsed may be paused, and wakes up believing that it still holds the cell.
  */
-import type { GoneProofs, MemberRecord, ProcessName } from '../members'
+import type { TerminationProofs, MemberRecord, ProcessId } from '../members'
 import type { Store } from '../store'
 import { createId } from '../utils'
-import { stewardKey } from './records'
-import type { FormerHolder, StewardRecord } from './records'
+import { cellLeaderKey } from './records'
+import type { FormerLeader, CellLeaderRecord } from './records'
 
 /** The steward key as last seen; revision 0 when there is none. */
 export interface Holding {
-  record: StewardRecord | undefined
+  record: CellLeaderRecord | undefined
   modRevision: number
 }
 
@@ -24,17 +24,17 @@
  * engines that check fencing numbers, and leaves the others alone. `ask`: only the holder's consent helps.
  */
 export type ClaimRight =
-  | { kind: 'free', reason: string, unproven: readonly FormerHolder[] }
-  | { kind: 'fence', reason: string, unproven: readonly FormerHolder[] }
+  | { kind: 'free', reason: string, unproven: readonly FormerLeader[] }
+  | { kind: 'fence', reason: string, unproven: readonly FormerLeader[] }
   | { kind: 'ask', holder: MemberRecord }
   | { kind: 'held' }
 
 export interface ClaimQuestion {
   holding: Holding
   self: MemberRecord
-  proofs: GoneProofs
+  proofs: TerminationProofs
   /** Whether the holder's record still stands in the store. */
-  isRegistered: (process: ProcessName) => boolean
+  isRegistered: (process: ProcessId) => boolean
   /** Whether any engine of the cell refuses orders with an old fencing number. */
   hasFencedEngines: boolean
   /** Whether no member gets an answer from the holder. */
@@ -47,7 +47,7 @@
   const unproven = (holding.record?.unproven ?? []).filter(process => proofs.proofFor(process) === undefined)
   if (holder === undefined) return { kind: 'free', reason: holding.record === undefined ? 'never held' : 'given up', unproven }
   if (holder.incarnation === self.incarnation) return { kind: 'free', reason: 'held by this process before', unproven }
-  const process: ProcessName = { member: holder.id, incarnation: holder.incarnation }
+  const process: ProcessId = { member: holder.id, incarnation: holder.incarnation }
   const proof = proofs.proofFor(process)
   if (proof !== undefined) return { kind: 'free', reason: `the holder is gone: ${proof}`, unproven }
   const isRegistered = question.isRegistered(process)
@@ -62,11 +62,11 @@
    * Claims the cell by compare-and-swap against `holding`. Undefined when another was faster, or when the outcome
    * is not known: then the watch tells, and {@link isOwn} recognises the claim.
    */
-  claim (cell: string, holding: Holding, unproven: readonly FormerHolder[]): Promise<Holding | undefined>
+  claim (cell: string, holding: Holding, unproven: readonly FormerLeader[]): Promise<Holding | undefined>
   /** Whether the record comes from a claim of this process that has not been taken up yet. */
-  isOwn (record: StewardRecord): boolean
+  isOwn (record: CellLeaderRecord): boolean
   /** Writes that nobody holds the cell, if this claim still stands. */
-  giveUp (cell: string, fence: number, unproven: readonly FormerHolder[]): Promise<void>
+  giveUp (cell: string, fence: number, unproven: readonly FormerLeader[]): Promise<void>
 }
 
 export function createClaimer (store: Store, self: MemberRecord): Claimer {
@@ -74,25 +74,25 @@
   return {
     isOwn: record => pending.has(record.claimId),
     claim: async (cell, holding, unproven) => {
-      const record: StewardRecord = { holder: { ...self }, claimId: createId('claim'), unproven }
+      const record: CellLeaderRecord = { holder: { ...self }, claimId: createId('claim'), unproven }
       pending.add(record.claimId)
       const answer = await store.transact({
-        compares: [{ key: stewardKey(cell), target: 'mod', equals: holding.modRevision }],
-        writes: [{ kind: 'put', key: stewardKey(cell), value: JSON.stringify(record) }]
+        compares: [{ key: cellLeaderKey(cell), target: 'mod', equals: holding.modRevision }],
+        writes: [{ kind: 'put', key: cellLeaderKey(cell), value: JSON.stringify(record) }]
       }, { priority: 'ownership' })
       if (answer.ok) return answer.val.succeeded ? { record, modRevision: answer.val.revision } : undefined
       if (answer.val.kind !== 'unknown') return undefined
       // The answer was lost. The claim id tells whether what the key holds now is ours.
-      const found = await store.get(stewardKey(cell), { priority: 'ownership' })
+      const found = await store.get(cellLeaderKey(cell), { priority: 'ownership' })
       if (found.err || found.val === undefined) return undefined
-      const present = JSON.parse(found.val.value) as StewardRecord
+      const present = JSON.parse(found.val.value) as CellLeaderRecord
       return present.claimId === record.claimId ? { record, modRevision: found.val.modRevision } : undefined
     },
     giveUp: async (cell, fence, unproven) => {
-      const record: StewardRecord = { claimId: createId('claim'), unproven }
+      const record: CellLeaderRecord = { claimId: createId('claim'), unproven }
       await store.transact({
-        compares: [{ key: stewardKey(cell), target: 'mod', equals: fence }],
-        writes: [{ kind: 'put', key: stewardKey(cell), value: JSON.stringify(record) }]
+        compares: [{ key: cellLeaderKey(cell), target: 'mod', equals: fence }],
+        writes: [{ kind: 'put', key: cellLeaderKey(cell), value: JSON.stringify(record) }]
       }, { priority: 'ownership' })
     }
   }
--- a/packages/magnoliabay/src/node/cells/context.ts
+++ b/packages/magnoliabay/src/node/cells/context.ts
@@ -1,25 +1,25 @@
 /** What the parts of one steward share. */
-import type { Directory } from '../backend/directory'
+import type { BackendDirectory } from '../backend/directory'
 import type { EngineClient } from '../backend/engineClient'
 import type { Clock } from '../clock'
-import type { ConfigHolder } from '../config'
+import type { ConfigProvider } from '../config'
 import type { Logger } from '../logger'
-import type { EngineAccount } from './account'
+import type { EngineAccount } from './engineAccount'
 import type { Intents } from './intents'
 import type { LoadTimes } from './loadTimes'
-import type { OrderSender } from './orders'
+import type { OrderSender } from './orderSender'
 
 /** What cells need of the configuration in force. */
-export type CellsConfig = Pick<ConfigHolder, 'inForce' | 'model' | 'adapter'>
+export type CellsConfig = Pick<ConfigProvider, 'active' | 'model' | 'adapter'>
 
-export interface StewardContext {
+export interface CellLeaderContext {
   readonly cell: string
   /** Modification revision of the steward key when it was claimed. */
   readonly fence: number
   readonly clock: Clock
   readonly logger: Logger
   readonly cfg: CellsConfig
-  readonly directory: Directory
+  readonly directory: BackendDirectory
   readonly engines: EngineClient
   readonly intents: Intents
   readonly sender: OrderSender
--- a/packages/magnoliabay/src/node/cells/account.ts
+++ b/packages/magnoliabay/src/node/cells/engineAccount.ts
@@ -3,8 +3,8 @@
  * when the engine has confirmed that the model is gone.
  */
 import type { CheckpointTier, EngineRole } from '../backend/protocol'
-import { createReplicaLife } from './replicaLife'
-import type { ReplicaLife } from './replicaLife'
+import { createReplicaLife } from './replicaLifecycle'
+import type { ReplicaLife } from './replicaLifecycle'
 
 export interface Replica {
   engine: string
--- a/packages/magnoliabay/src/node/cells/engineCare.ts
+++ b/packages/magnoliabay/src/node/cells/engineReconciler.ts
@@ -4,12 +4,12 @@
  */
 import type { EngineState } from '../backend/protocol'
 import type { ListedInstance } from '../store'
-import { dropIfGone } from './account'
-import type { EngineAccount, Replica } from './account'
-import type { StewardContext } from './context'
+import { dropIfGone } from './engineAccount'
+import type { EngineAccount, Replica } from './engineAccount'
+import type { CellLeaderContext } from './context'
 import type { ReplicaOps } from './replicaOps'
 import type { Intent } from './records'
-import { adopt, noteState, takeUpEngine } from './takeUp'
+import { adopt, noteState, takeUpEngine } from './engineTakeover'
 
 /** How often an engine's state is read. */
 const LOOK_PERIOD_MS = 2000
@@ -22,7 +22,7 @@
 const TAKE_UP_RETRY_MS = 1000
 
 export interface EngineCareOptions {
-  ctx: StewardContext
+  ctx: CellLeaderContext
   ops: ReplicaOps
   /** Engines of this cell that are listed. */
   listed: () => readonly ListedInstance[]
--- a/packages/magnoliabay/src/node/cells/takeUp.ts
+++ b/packages/magnoliabay/src/node/cells/engineTakeover.ts
@@ -6,8 +6,8 @@
 import type { EngineState, LoadedModel } from '../backend/protocol'
 import type { ListedInstance } from '../store'
 import { createId } from '../utils'
-import { addReplica, createEngineAccount } from './account'
-import type { EngineAccount } from './account'
+import { addReplica, createEngineAccount } from './engineAccount'
+import type { EngineAccount } from './engineAccount'
 import type { Intent } from './records'
 
 export type TakeUp =
--- a/packages/magnoliabay/src/node/cells/idleCare.ts
+++ b/packages/magnoliabay/src/node/cells/idleEviction.ts
@@ -1,15 +1,15 @@
 /** Lets go of what nobody calls, and wakes ahead what is about to be called. */
 import type { ModelConfig } from '../config/fleet'
-import { freeMiB, loadedReplicas } from './account'
-import type { EngineAccount, Replica } from './account'
-import type { StewardContext } from './context'
-import { decideKeepMs, predictNextUse } from './idle'
-import type { GapHistory } from './idle'
+import { freeMiB, loadedReplicas } from './engineAccount'
+import type { EngineAccount, Replica } from './engineAccount'
+import type { CellLeaderContext } from './context'
+import { decideKeepMs, predictNextUse } from './keepAlivePolicy'
+import type { GapHistory } from './keepAlivePolicy'
 import type { ReplicaOps } from './replicaOps'
-import type { Wants } from './wants'
+import type { Wants } from './pendingDemand'
 
 export interface IdleCareOptions {
-  ctx: StewardContext
+  ctx: CellLeaderContext
   ops: ReplicaOps
   history: GapHistory
   wants: Wants
@@ -34,7 +34,7 @@
 
   const keepMs = (replica: Replica): number => {
     const coldStartMs = ctx.times.expectedMs('remote', replica.memoryMiB)
-    return decideKeepMs(history.gaps(replica.model), { coldStartWorthMs: ctx.cfg.inForce().fleet.coldStartWorth * coldStartMs })
+    return decideKeepMs(history.gaps(replica.model), { coldStartWorthMs: ctx.cfg.active().fleet.coldStartWorth * coldStartMs })
   }
   const isAwaited = (replica: Replica): boolean => {
     const nextUse = predictionOf(replica.model)
--- a/packages/magnoliabay/src/node/cells/index.ts
+++ b/packages/magnoliabay/src/node/cells/index.ts
@@ -1,5 +1,5 @@
 /** Cells of engines and their stewards. */
 export { createCells } from './cells'
 export type { Cells, LocalDemand } from './cells'
-export type { Replicas } from './replicas'
+export type { ReplicaRegistry } from './replicaRegistry'
 export type { DemandReply, ReplicaEntry, ReplicaTable } from './records'
--- a/packages/magnoliabay/src/node/cells/intents.ts
+++ b/packages/magnoliabay/src/node/cells/intents.ts
@@ -5,7 +5,7 @@
 import type { Logger } from '../logger'
 import type { MemberRecord, Peers } from '../members'
 import type { Store } from '../store'
-import { dropIntentsNotice, heldIntentsCall, holdIntentCall, intentKey, intentsPrefix, stewardKey } from './records'
+import { dropIntentsNotice, heldIntentsCall, holdIntentCall, intentKey, intentsPrefix, cellLeaderKey } from './records'
 import type { Intent } from './records'
 
 /** `superseded`: another steward holds the cell now. `nowhere`: neither store nor enough peers took it. */
@@ -46,7 +46,7 @@
 
   const inStore = async (intent: Intent): Promise<RecordOutcome> => {
     const answer = await store.transact({
-      compares: [{ key: stewardKey(cell), target: 'mod', equals: fence }],
+      compares: [{ key: cellLeaderKey(cell), target: 'mod', equals: fence }],
       writes: [{ kind: 'put', key: intentKey(cell, intent.orderId), value: JSON.stringify(intent) }]
     }, { priority: 'ownership' })
     if (answer.ok) return answer.val.succeeded ? 'stored' : 'superseded'
--- a/packages/magnoliabay/src/node/cells/orders.ts
+++ b/packages/magnoliabay/src/node/cells/orderSender.ts
@@ -3,7 +3,7 @@
  * repeated id with the first outcome and does nothing twice, so an answer to any copy settles them all, and
  * a late or doubled answer changes nothing.
  */
-import type { Directory } from '../backend/directory'
+import type { BackendDirectory } from '../backend/directory'
 import type { EngineClient } from '../backend/engineClient'
 import type { EngineState, Order, OrderOutcome } from '../backend/protocol'
 import { sleep } from '../clock'
@@ -20,7 +20,7 @@
   | { kind: 'stopped' }
 
 export interface OrderSenderOptions {
-  directory: Directory
+  directory: BackendDirectory
   engines: EngineClient
   clock: Clock
   logger: Logger
--- a/packages/magnoliabay/src/node/cells/placement.ts
+++ b/packages/magnoliabay/src/node/cells/placement.ts
@@ -3,8 +3,8 @@
  * first, counting what evicting others will cost those who call them next.
  */
 import type { CheckpointTier } from '../backend/protocol'
-import { freeMiB, loadedReplicas } from './account'
-import type { EngineAccount, Replica } from './account'
+import { freeMiB, loadedReplicas } from './engineAccount'
+import type { EngineAccount, Replica } from './engineAccount'
 import type { LoadTimes } from './loadTimes'
 
 export type Placement =
--- a/packages/magnoliabay/src/node/cells/records.ts
+++ b/packages/magnoliabay/src/node/cells/records.ts
@@ -1,15 +1,15 @@
 /** What stewards keep in the store and tell the other members. */
-import { STORE_ROOT } from '../constants'
+import { STORE_KEY_PREFIX } from '../constants'
 import type { OrderAction } from '../backend/protocol'
 import { stableHash } from '../utils'
 import { definePeerCall, definePeerNotice } from '../members'
-import type { MemberRecord, ProcessName } from '../members'
+import type { MemberRecord, ProcessId } from '../members'
 
 const CELL_NAME = 'cell-'
 
-export const CELLS_PREFIX = `${STORE_ROOT}/cells/`
+export const CELLS_PREFIX = `${STORE_KEY_PREFIX}/cells/`
 
-export function stewardKey (cell: string): string {
+export function cellLeaderKey (cell: string): string {
   return `${CELLS_PREFIX}${cell}/steward`
 }
 
@@ -27,7 +27,7 @@
 }
 
 /** Kept without a lease: a lapsed lease is no proof that the holder has ended. */
-export interface StewardRecord {
+export interface CellLeaderRecord {
   /** The process that holds the cell; none when it was given up. */
   holder?: MemberRecord
   /** Unique for each claim, so that a claim whose answer was lost is recognised. */
@@ -36,11 +36,11 @@
    * Earlier holders that were neither proven gone nor gave the cell up. Engines that ignore fencing numbers
    * are left alone until these are accounted for.
    */
-  unproven: readonly FormerHolder[]
+  unproven: readonly FormerLeader[]
 }
 
 /** A process that held a cell under a fencing number, and may believe that it still does. */
-export interface FormerHolder extends ProcessName {
+export interface FormerLeader extends ProcessId {
   fence: number
 }
 
--- a/packages/magnoliabay/src/node/cells/replicaOps.ts
+++ b/packages/magnoliabay/src/node/cells/replicaOps.ts
@@ -4,10 +4,10 @@
  */
 import type { CheckpointTier, Order, OrderOutcome } from '../backend/protocol'
 import { createId } from '../utils'
-import { addReplica, dropIfGone, freeMiB } from './account'
-import type { EngineAccount, Replica } from './account'
-import type { StewardContext } from './context'
-import type { OrderEnd } from './orders'
+import { addReplica, dropIfGone, freeMiB } from './engineAccount'
+import type { EngineAccount, Replica } from './engineAccount'
+import type { CellLeaderContext } from './context'
+import type { OrderEnd } from './orderSender'
 import type { Intent } from './records'
 
 export type LoadEnd = 'loaded' | 'refused' | 'not-recorded' | 'stopped'
@@ -36,7 +36,7 @@
 
 const DONE: ReadonlySet<OrderOutcome> = new Set<OrderOutcome>(['done', 'already-done'])
 
-export function createReplicaOps (ctx: StewardContext): ReplicaOps {
+export function createReplicaOps (ctx: CellLeaderContext): ReplicaOps {
   const { cell, fence, clock, logger, intents } = ctx
 
   const isDone = (end: OrderEnd): boolean => end.kind === 'answered' && DONE.has(end.outcome)
--- a/packages/magnoliabay/src/node/cells/replicas.ts
+++ b/packages/magnoliabay/src/node/cells/replicaRegistry.ts
@@ -5,24 +5,24 @@
 import type { Disposer } from '../members/peers'
 import type { ReplicaEntry, ReplicaTable } from './records'
 
-export interface Replicas {
-  of (model: string): readonly ReplicaEntry[]
+export interface ReplicaRegistry {
+  replicasOf (model: string): readonly ReplicaEntry[]
   all (): readonly ReplicaEntry[]
   tables (): readonly ReplicaTable[]
   /** Takes a table unless a newer one of the cell is known. */
-  take (table: ReplicaTable): void
+  applyTable (table: ReplicaTable): void
   onChanged (listener: () => void): Disposer
 }
 
-export function createReplicas (): Replicas {
+export function createReplicaRegistry (): ReplicaRegistry {
   const tables = new Map<string, ReplicaTable>()
   const changed = createListeners<[]>()
   const all = (): ReplicaEntry[] => [...tables.values()].flatMap(table => table.replicas)
   return {
     all,
-    of: model => all().filter(replica => replica.model === model),
+    replicasOf: model => all().filter(replica => replica.model === model),
     tables: () => [...tables.values()],
-    take: table => {
+    applyTable: table => {
       const known = tables.get(table.cell)
       if (known !== undefined && !isNewer(table, known)) return
       tables.set(table.cell, table)
--- a/packages/magnoliabay/src/node/cells/scheduler.ts
+++ b/packages/magnoliabay/src/node/cells/scheduler.ts
@@ -4,18 +4,18 @@
  */
 import type { ModelConfig } from '../config/fleet'
 import type { ListedInstance } from '../store'
-import type { EngineAccount, Replica } from './account'
-import type { StewardContext } from './context'
-import { isUsable } from './engineCare'
-import type { GapHistory } from './idle'
+import type { EngineAccount, Replica } from './engineAccount'
+import type { CellLeaderContext } from './context'
+import { isUsable } from './engineReconciler'
+import type { GapHistory } from './keepAlivePolicy'
 import { decidePlacement } from './placement'
 import type { Placement } from './placement'
 import type { LoadEnd, ReplicaOps } from './replicaOps'
-import type { Slots } from './slots'
-import type { Want, Wants } from './wants'
+import type { Slots } from './loadLimiter'
+import type { Want, Wants } from './pendingDemand'
 
 export interface SchedulerOptions {
-  ctx: StewardContext
+  ctx: CellLeaderContext
   ops: ReplicaOps
   wants: Wants
   history: GapHistory
--- a/packages/magnoliabay/src/node/cells/usage.ts
+++ b/packages/magnoliabay/src/node/cells/usageReporter.ts
@@ -2,19 +2,19 @@
 import type { Peers } from '../members'
 import { usageNotice } from './records'
 import type { ReplicaTable, UsageReport } from './records'
-import type { Replicas } from './replicas'
-import type { Steward } from './steward'
+import type { ReplicaRegistry } from './replicaRegistry'
+import type { CellLeader } from './cellLeader'
 
 export interface UsageOptions {
   peers: Peers
-  replicas: Replicas
+  replicas: ReplicaRegistry
   stewardOf: (cell: string) => string | undefined
 }
 
 export interface Usage {
   note (model: string, adapter?: string): void
   /** Reports to the given stewards here, and to those elsewhere. */
-  report (here: readonly Steward[]): void
+  report (here: readonly CellLeader[]): void
 }
 
 export function createUsage (options: UsageOptions): Usage {
@@ -28,7 +28,7 @@
     models: pick(models, held.map(replica => replica.model)),
     adapters: pick(adapters, held.flatMap(replica => replica.adapters))
   })
-  const send = (report: UsageReport, here: readonly Steward[]): void => {
+  const send = (report: UsageReport, here: readonly CellLeader[]): void => {
     const holder = options.stewardOf(report.cell)
     const local = here.find(steward => steward.cell === report.cell)
     if (local !== undefined) local.noteUsed(report)
--- a/packages/magnoliabay/src/node/cli.ts
+++ b/packages/magnoliabay/src/node/cli.ts
@@ -1,6 +1,6 @@
 /** The command line: finds the command, checks its options, runs it. */
 import { parseArgs } from 'node:util'
-import { EXIT_DONE, EXIT_FAILED, EXIT_USAGE, isUsageError } from './commands/types'
+import { EXIT_SUCCESS, EXIT_FAILED, EXIT_USAGE, isUsageError } from './commands/types'
 import type { Command, ExitCode, OptionDescription } from './commands/types'
 import { VERSION } from './constants'
 import { createLogger } from './logger'
@@ -22,7 +22,7 @@
 type CommandLoader = () => Promise<Command>
 
 const operatorCommand = (name: string): CommandLoader => async () => {
-  const { operatorCommands } = await import('./commands/operatorCommands')
+  const { operatorCliCommands: operatorCommands } = await import('./commands/operatorCliCommands')
   return operatorCommands.find(command => command.name === name)!
 }
 
@@ -45,11 +45,11 @@
   const [name, ...rest] = args
   if (name === '--version') {
     print(VERSION)
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
   if (name === undefined || name === '--help') {
     print(formatOverview(await Promise.all(Object.values(commands).map(load => load()))))
-    return name === undefined ? EXIT_USAGE : EXIT_DONE
+    return name === undefined ? EXIT_USAGE : EXIT_SUCCESS
   }
   const load = Object.hasOwn(commands, name) ? commands[name] : undefined
   if (load === undefined) {
@@ -68,7 +68,7 @@
   }
   if (parsed.values.help === true) {
     print(formatUsage(command))
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
   try {
     return await command.run({ ...parsed, ...context, logger: createLogger() })
--- a/packages/magnoliabay/src/node/clock/index.ts
+++ b/packages/magnoliabay/src/node/clock/index.ts
@@ -54,7 +54,7 @@
  * nothing to do wake for little else. A timer that fired a little early has done its period: it would else fire again
  * for the rest of the millisecond, and everything that is repeated would be done twice.
  */
-export function untilNextPeriod (clock: Clock, periodMs: number): number {
+export function delayToNextPeriod (clock: Clock, periodMs: number): number {
   const leftMs = periodMs - clock.monotonic() % periodMs
   return leftMs > TIMER_EARLY_MS ? leftMs : leftMs + periodMs
 }
@@ -64,7 +64,7 @@
  * of the day, and `offsetMs` after it. Messages that all send then arrive together and wake whoever hears them once; and
  * what is added up on the way to one of them can be sent in the order in which it is needed.
  */
-export function untilNextMoment (clock: Clock, periodMs: number, offsetMs = 0): number {
+export function delayToNextWallClockPeriod (clock: Clock, periodMs: number, offsetMs = 0): number {
   const leftMs = periodMs - (clock.now() - offsetMs) % periodMs
   return leftMs > TIMER_EARLY_MS ? leftMs : leftMs + periodMs
 }
@@ -73,7 +73,7 @@
 export async function repeat (clock: Clock, periodMs: number, signal: AbortSignal, task: () => unknown): Promise<void> {
   while (!signal.aborted) {
     await task()
-    await sleep(clock, untilNextPeriod(clock, periodMs), signal)
+    await sleep(clock, delayToNextPeriod(clock, periodMs), signal)
   }
 }
 
@@ -81,7 +81,7 @@
 export const TIMED_OUT = Symbol('timed out')
 
 /** Resolves to what `promise` resolves to, or to `TIMED_OUT` after `delayMs` milliseconds. */
-export function withDeadline<T> (clock: Clock, delayMs: number, promise: Promise<T>): Promise<T | typeof TIMED_OUT> {
+export function withTimeout<T> (clock: Clock, delayMs: number, promise: Promise<T>): Promise<T | typeof TIMED_OUT> {
   return new Promise((resolve, reject) => {
     const cancel = clock.schedule(delayMs, () => resolve(TIMED_OUT))
     promise.then(
--- a/packages/magnoliabay/src/node/clock/ticker.ts
+++ b/packages/magnoliabay/src/node/clock/ticker.ts
@@ -3,7 +3,7 @@
  * once for each of them, hundreds of times a second over a fleet that has nothing to do. Tickers of all processes tick
  * together, so that what they send to each other arrives together as well.
  */
-import { untilNextMoment } from '.'
+import { delayToNextWallClockPeriod } from '.'
 import type { CancelTimer, Clock } from '.'
 
 export interface Ticker {
@@ -16,7 +16,7 @@
   const listeners = new Set<() => void>()
   let cancel: CancelTimer | undefined
   const tick = (): void => {
-    cancel = clock.schedule(untilNextMoment(clock, periodMs), tick)
+    cancel = clock.schedule(delayToNextWallClockPeriod(clock, periodMs), tick)
     const current = [...listeners]
     current.forEach(listener => listener())
   }
@@ -24,7 +24,7 @@
     add: listener => {
       const own = (): void => listener()
       listeners.add(own)
-      cancel ??= clock.schedule(untilNextMoment(clock, periodMs), tick)
+      cancel ??= clock.schedule(delayToNextWallClockPeriod(clock, periodMs), tick)
       return () => {
         listeners.delete(own)
         if (listeners.size > 0) return
--- a/packages/magnoliabay/src/node/commands/config.ts
+++ b/packages/magnoliabay/src/node/commands/config.ts
@@ -9,7 +9,7 @@
 import { formatPlan, planDirectory } from './configPlan'
 import { CONNECTION_OPTIONS, JSON_OPTION, connect } from './connection'
 import { formatTable } from './table'
-import { EXIT_DONE, EXIT_FAILED, UsageError } from './types'
+import { EXIT_SUCCESS, EXIT_FAILED, UsageError } from './types'
 import type { Command, CommandContext, ExitCode } from './types'
 
 const DEFAULT_WAIT_SECONDS = '18'
@@ -26,14 +26,14 @@
     problems.forEach(problem => printError(formatProblem(problem)))
     if (problems.length > 0) return EXIT_FAILED
     print(`${files.length} files hold together: ${files.map(file => file.document).join(', ')}`)
-    return EXIT_DONE
+    return EXIT_SUCCESS
   },
   plan: async (context, [directory = '.']) => {
     const plan = await planDirectory(await connect(context), directory)
     context.print(context.values.json === true
       ? formatJson({ documents: plan.changed.map(file => file.document), sites: plan.sites, problems: plan.problems })
       : formatPlan(plan))
-    return plan.problems.length === 0 ? EXIT_DONE : EXIT_FAILED
+    return plan.problems.length === 0 ? EXIT_SUCCESS : EXIT_FAILED
   },
   apply: async (context, [directory = '.']) => {
     const { values, print, printError } = context
@@ -41,12 +41,12 @@
     const plan = await planDirectory(client, directory)
     print(formatPlan(plan))
     if (plan.problems.length > 0) return EXIT_FAILED
-    if (plan.changed.length === 0) return EXIT_DONE
+    if (plan.changed.length === 0) return EXIT_SUCCESS
     const changeId = typeof values.change === 'string' ? values.change : undefined
     try {
       const applied = await applyFiles({ client, plan, note: String(values.note ?? ''), changeId, waitMs: Number(values.wait) * 1000 })
       print(values.json === true ? formatJson(applied) : formatApplied(applied))
-      return applied.every(({ spread }) => spread.every(one => one.isInForce)) ? EXIT_DONE : EXIT_FAILED
+      return applied.every(({ spread }) => spread.every(one => one.isInForce)) ? EXIT_SUCCESS : EXIT_FAILED
     } catch (err) {
       if (!(err instanceof OperatorCallError)) throw err
       printError(await describeConflict(client, plan, err) ?? describeRefusal(err))
@@ -56,16 +56,16 @@
   status: async context => {
     const client = await connect(context)
     const { documents, damaged } = await client.config()
-    const spreads = await Promise.all(documents.map(async manifest => ({ manifest, spread: await client.spread(manifest.document, manifest.version, 0) })))
+    const spreads = await Promise.all(documents.map(async manifest => ({ manifest, spread: await client.rollout(manifest.document, manifest.version, 0) })))
     context.print(context.values.json === true ? formatJson({ documents: spreads, damaged }) : formatApplied(spreads))
     if (damaged.length > 0) context.printError(`The store's record of ${damaged.join(', ')} is damaged. What is in force stays; apply it again to mend the record.`)
-    return EXIT_DONE
+    return EXIT_SUCCESS
   },
   history: async (context, [document = 'base']) => {
     const history = await (await connect(context)).history(document)
     const rows = history.map(manifest => [String(manifest.version), new Date(manifest.acceptedAtMs).toISOString(), manifest.operator, manifest.acceptedBy, String(manifest.fromVersion), manifest.note])
     context.print(context.values.json === true ? formatJson(history) : formatTable(['version', 'accepted', 'operator', 'at', 'from', 'note'], rows))
-    return EXIT_DONE
+    return EXIT_SUCCESS
   },
   export: async (context, [directory = '.']) => {
     const client = await connect(context)
@@ -77,7 +77,7 @@
       if (context.values.print === true) context.print(formatDocument(body, manifest.version))
       else context.print(await writeConfigFile(directory, body, manifest.version))
     }
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
 
--- a/packages/magnoliabay/src/node/commands/configApply.ts
+++ b/packages/magnoliabay/src/node/commands/configApply.ts
@@ -1,13 +1,13 @@
 /** Applying the files of a directory: the changed ones, each against the version that the operator saw. */
 import { BASE_DOCUMENT } from '../config'
 import type { Manifest } from '../config'
-import { changesBetween, formatChange } from '../config/plan'
+import { diffFleets, formatChange } from '../config/plan'
 import { resolveFleet } from '../config/resolveFleet'
 import type { ResolvedFleet } from '../config/resolveFleet'
-import type { DocumentBody } from '../config/body'
+import type { DocumentBody } from '../config/documentBody'
 import { OperatorCallError } from '../operators/client'
 import type { OperatorClient } from '../operators/client'
-import type { InstanceSpread } from '../operators/queries'
+import type { InstanceRollout } from '../operators/queries'
 import { createId } from '../utils'
 import { readCurrent } from './configDocuments'
 import type { PreparedFile } from './configDocuments'
@@ -16,7 +16,7 @@
 export interface AppliedDocument {
   manifest: Manifest
   /** Where it is in force, and where not. */
-  spread: InstanceSpread[]
+  spread: InstanceRollout[]
 }
 
 export interface ApplyOptions {
@@ -33,7 +33,7 @@
   const accepted = await acceptInOrder(options, options.plan.changed)
   return await Promise.all(accepted.map(async manifest => ({
     manifest,
-    spread: await options.client.spread(manifest.document, manifest.version, options.waitMs)
+    spread: await options.client.rollout(manifest.document, manifest.version, options.waitMs)
   })))
 }
 
@@ -98,7 +98,7 @@
   const next = resolveBody(base, after)
   if (after === undefined || next === undefined) return ['  not to be told']
   const isFirstOverlay = before === undefined && after.document !== BASE_DOCUMENT
-  const changes = changesBetween(resolveBody(base, isFirstOverlay ? base : before), next)
+  const changes = diffFleets(resolveBody(base, isFirstOverlay ? base : before), next)
   return changes.length === 0 ? ['  no change'] : changes.map(change => `  ${formatChange(change)}`)
 }
 
--- a/packages/magnoliabay/src/node/commands/configDocuments.ts
+++ b/packages/magnoliabay/src/node/commands/configDocuments.ts
@@ -1,17 +1,17 @@
 /** Documents of the fleet and of files, decoded for comparing. */
 import { sleep, createSystemClock } from '../clock'
 import type { Manifest } from '../config'
-import type { DocumentBody, PreparedDocument } from '../config/body'
+import type { DocumentBody, EncodedDocument } from '../config/documentBody'
 import type { ChunkContents } from '../config/documents'
-import { readHeld } from '../config/held'
+import { loadDocument } from '../config/loadedDocument'
 import { formatProblem } from '../config'
-import { ConfigFileError, prepareText } from '../operators/client'
+import { ConfigFileError, prepareTomlDocument } from '../operators/client'
 import type { OperatorClient } from '../operators/client'
 import type { ConfigFile } from './configFiles'
 
 export interface PreparedFile {
   document: string
-  prepared: PreparedDocument
+  prepared: EncodedDocument
   body: DocumentBody
   version?: number
 }
@@ -23,7 +23,7 @@
 
 /** Checks a file. Throws {@link ConfigFileError} with all that is wrong with it. */
 export async function prepareFile ({ document, text, version }: ConfigFile): Promise<PreparedFile> {
-  const prepared = prepareText(document, text)
+  const prepared = prepareTomlDocument(document, text)
   return { document, prepared, version, body: await bodyOf(document, prepared, prepared.chunks) }
 }
 
@@ -42,7 +42,7 @@
 async function bodyOf (document: string, { core, adapters }: Pick<Manifest, 'core' | 'adapters'>, contents: ChunkContents): Promise<DocumentBody> {
   const clock = createSystemClock()
   const manifest: Manifest = { document, core, adapters, version: 1, changeId: '', operator: '', acceptedBy: '', acceptedAtMs: 0, fromVersion: 0, note: '' }
-  const held = await readHeld(manifest, undefined, new Map(Object.entries(contents)), () => sleep(clock, 0))
+  const held = await loadDocument(manifest, undefined, new Map(Object.entries(contents)), () => sleep(clock, 0))
   if (held.err) throw new ConfigFileError(held.val.problems.map(formatProblem).join('\n'))
   return held.val.body
 }
--- a/packages/magnoliabay/src/node/commands/configFiles.ts
+++ b/packages/magnoliabay/src/node/commands/configFiles.ts
@@ -2,9 +2,9 @@
 import { mkdir, readFile, readdir, writeFile } from 'node:fs/promises'
 import { dirname, join } from 'node:path'
 import { stringify } from 'smol-toml'
-import { BASE_DOCUMENT, fileOf, siteDocument } from '../config'
-import { entriesOf } from '../config/resolveFleet'
-import type { DocumentBody } from '../config/body'
+import { BASE_DOCUMENT, documentFileName, siteDocument } from '../config'
+import { adapterEntries } from '../config/resolveFleet'
+import type { DocumentBody } from '../config/documentBody'
 import { ConfigFileError } from '../operators/client'
 
 export interface ConfigFile {
@@ -27,7 +27,7 @@
 }
 
 async function readConfigFile (directory: string, document: string): Promise<ConfigFile> {
-  const bytes = await readFile(join(directory, fileOf(document)))
+  const bytes = await readFile(join(directory, documentFileName(document)))
   const text = decodeText(document, bytes)
   const version = VERSION_LINE.exec(text)?.[1]
   return { document, text, version: version === undefined ? undefined : Number(version) }
@@ -38,20 +38,20 @@
   try {
     return new TextDecoder('utf-8', { fatal: true }).decode(bytes)
   } catch {
-    throw new ConfigFileError(`${fileOf(document)}: found bytes that are not UTF-8, allowed is UTF-8 text`)
+    throw new ConfigFileError(`${documentFileName(document)}: found bytes that are not UTF-8, allowed is UTF-8 text`)
   }
 }
 
 /** Writes one document; the version in its first line is what a later `apply` is compared with. */
 export async function writeConfigFile (directory: string, body: DocumentBody, version: number): Promise<string> {
-  const file = join(directory, fileOf(body.document))
+  const file = join(directory, documentFileName(body.document))
   await mkdir(dirname(file), { recursive: true })
   await writeFile(file, formatDocument(body, version))
   return file
 }
 
 export function formatDocument (body: DocumentBody, version: number): string {
-  const adapter = entriesOf(body.adapters)
+  const adapter = adapterEntries(body.adapters)
   const content = { ...body.core, ...(adapter.length > 0 && { adapter }) }
   return `# magnoliabay version ${version}\n${stringify(content)}\n`
 }
--- a/packages/magnoliabay/src/node/commands/dev.ts
+++ b/packages/magnoliabay/src/node/commands/dev.ts
@@ -1,12 +1,12 @@
 /** `magnoliabay dev`: the embedded default, or the stand-ins alone, up until it is stopped. */
 import { createLogger } from '../logger'
 import type { Logger } from '../logger'
-import { startEmbedded } from './embedded'
-import { EMBEDDED_REGION } from './embeddedFleet'
+import { startEmbeddedFleet } from './embedded'
+import { EMBEDDED_REGION } from './embeddedConfig'
 import { addressesOf, startStandIns } from './standIns'
-import { EXIT_DONE, EXIT_USAGE } from './types'
+import { EXIT_SUCCESS, EXIT_USAGE } from './types'
 import type { Command } from './types'
-import { untilSignal } from './untilSignal'
+import { untilSignal } from './shutdownSignal'
 
 const DEFAULT_INSTANCES = '3'
 const DEFAULT_PORT = '8080'
@@ -52,7 +52,7 @@
     const close = instances === 0 ? await runStandIns(plan) : await runEmbedded(plan)
     await untilSignal()
     await close()
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
 
@@ -64,9 +64,9 @@
 }
 
 async function runEmbedded ({ instances, port, standInPort, logger }: DevPlan): Promise<() => Promise<void>> {
-  const embedded = await startEmbedded({ instances, port, standInPort, logger })
+  const embedded = await startEmbeddedFleet({ instances, port, standInPort, logger })
   logger.info('ready', {
-    entries: embedded.entries,
+    entries: embedded.entryUrls,
     store: embedded.storeUrl,
     list: embedded.listUrl,
     faults: addressesOf(embedded.standIns).faultsUrl,
--- a/packages/magnoliabay/src/node/commands/embedded.ts
+++ b/packages/magnoliabay/src/node/commands/embedded.ts
@@ -15,10 +15,10 @@
 import type { OperatorClient } from '../operators/client'
 import { createEtcdStore, createInstanceListClient } from '../store'
 import { createId } from '../utils'
-import { EMBEDDED_DOMAINS, EMBEDDED_FLEET, EMBEDDED_MODELS, EMBEDDED_REGION, EMBEDDED_TEAM } from './embeddedFleet'
+import { EMBEDDED_FAILURE_DOMAINS, EMBEDDED_CONFIG_TOML, EMBEDDED_MODELS, EMBEDDED_REGION, EMBEDDED_TEAM } from './embeddedConfig'
 import { addressesOf, startStandIns } from './standIns'
 
-export interface EmbeddedOptions {
+export interface EmbeddedFleetOptions {
   /** @default 3 */
   instances?: number
   /** First of the entry ports; 0 takes any free ones. @default 0 */
@@ -26,22 +26,22 @@
   /** First of the stand-ins' ports; 0 takes any free ones. @default 0 */
   standInPort?: number
   /** Configuration that is applied, in TOML. @default the one in embeddedFleet.ts */
-  fleet?: string
+  configToml?: string
   /** Speed of the weight store. @default that of its stand-in */
   weights?: StandInFleetOptions['weights']
   logger: Logger
 }
 
-export interface Embedded {
+export interface EmbeddedFleet {
   standIns: StandInFleet
   instances: readonly Instance[]
-  entries: readonly string[]
+  entryUrls: readonly string[]
   storeUrl: string
   listUrl: string
   callerKey: string
   callerKeyId: string
   operatorKey: string
-  operators: OperatorClient
+  operatorClient: OperatorClient
   models: readonly string[]
   close (): Promise<void>
 }
@@ -53,7 +53,7 @@
 const FREE_PORTS_FROM = 15_000
 const FREE_PORTS_TO = 32_000
 
-export async function startEmbedded (options: EmbeddedOptions): Promise<Embedded> {
+export async function startEmbeddedFleet (options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
   const { logger } = options
   const clock = createSystemClock()
   const standIns = await startStandIns({ firstPort: options.standInPort, weights: options.weights })
@@ -70,7 +70,7 @@
         id: `entry-${index + 1}`,
         site: 'embedded',
         region: EMBEDDED_REGION,
-        failureDomain: EMBEDDED_DOMAINS[index % EMBEDDED_DOMAINS.length]!,
+        failureDomain: EMBEDDED_FAILURE_DOMAINS[index % EMBEDDED_FAILURE_DOMAINS.length]!,
         entryAddress: `${HOST}:${ports[index]}`,
         peerAddress: `${HOST}:${ports[count + index]}`,
         operatorAddress: `${HOST}:${ports[2 * count + index]}`
@@ -86,20 +86,20 @@
   }))
   await Promise.all(instances.map(instance => instance.start()))
   const operators = createOperatorClient({ address: instances[0]!.member.operatorAddress, key: operatorKey })
-  await operators.applyConfig(options.fleet ?? EMBEDDED_FLEET)
+  await operators.applyConfig(options.configToml ?? EMBEDDED_CONFIG_TOML)
   const created = await operators.createKey(EMBEDDED_TEAM)
   await untilReady(clock, instances)
 
   return {
     standIns,
     instances,
-    entries: instances.map(instance => `http://${instance.member.entryAddress}`),
+    entryUrls: instances.map(instance => `http://${instance.member.entryAddress}`),
     storeUrl,
     listUrl,
     callerKey: created.key,
     callerKeyId: created.id,
     operatorKey,
-    operators,
+    operatorClient: operators,
     models: EMBEDDED_MODELS,
     close: async () => {
       await Promise.all(instances.map(instance => instance.shutdown()))
--- a/packages/magnoliabay/src/node/commands/embeddedFleet.ts
+++ b/packages/magnoliabay/src/node/commands/embeddedConfig.ts
@@ -1,13 +1,13 @@
 /** The configuration of the embedded default. */
 
 export const EMBEDDED_REGION = 'ie-south'
-export const EMBEDDED_DOMAINS: readonly string[] = ['ie-south-a', 'ie-south-b', 'ie-south-c']
+export const EMBEDDED_FAILURE_DOMAINS: readonly string[] = ['ie-south-a', 'ie-south-b', 'ie-south-c']
 export const EMBEDDED_TEAM = 'depot'
 export const EMBEDDED_SMALL_TEAM = 'yard'
 export const EMBEDDED_MODELS: readonly string[] = ['assistant-small', 'assistant-large', 'residue-notes', 'route-planner']
 export const EMBEDDED_SERVICE = 'notes'
 
-export const EMBEDDED_FLEET = `
+export const EMBEDDED_CONFIG_TOML = `
 [[team]]
 name = "${EMBEDDED_TEAM}"
 tokensPerSecond = 20000
--- a/packages/magnoliabay/src/node/commands/operatorCommands.ts
+++ b/packages/magnoliabay/src/node/commands/operatorCliCommands.ts
@@ -1,17 +1,17 @@
 /** The operators' commands on keys and instances, and what they can ask. */
 import { writeFile } from 'node:fs/promises'
-import type { EntryKind } from '../config/body'
+import type { EntryKind } from '../config/documentBody'
 import { formatLogFields } from '../logger'
 import { SUBJECT_KINDS } from '../operators/decisionLog'
 import { isSubjectKind } from '../operators/explain'
 import type { Explanation } from '../operators/explain'
 import type { ConfigEntry, KeySummary } from '../operators/queries'
 import type { FleetStatus } from '../operators/status'
-import { renderReport } from '../report/html'
-import { formatReport } from '../report/table'
+import { renderReportHtml } from '../report/html'
+import { formatReportTable } from '../report/table'
 import { CONNECTION_OPTIONS, JSON_OPTION, connect } from './connection'
 import { formatTable } from './table'
-import { EXIT_DONE, UsageError } from './types'
+import { EXIT_SUCCESS, UsageError } from './types'
 import type { Command, CommandContext, ExitCode } from './types'
 
 const QUERY_OPTIONS = { ...CONNECTION_OPTIONS, ...JSON_OPTION }
@@ -21,18 +21,18 @@
     if (team === undefined) throw new UsageError('Say for which team: magnoliabay key create TEAM')
     const created = await (await connect(context)).createKey(team)
     show(context, created, () => `key ${created.id} for ${created.team}, shown this once: ${created.key}`)
-    return EXIT_DONE
+    return EXIT_SUCCESS
   },
   list: async (context, team) => {
     const keys = await (await connect(context)).keys(team)
     show(context, keys, () => formatTable(['key', 'team', 'created', 'withdrawn'], keys.map(keyRow)))
-    return EXIT_DONE
+    return EXIT_SUCCESS
   },
   withdraw: async (context, keyId) => {
     if (keyId === undefined) throw new UsageError('Say which key: magnoliabay key withdraw ID')
     await (await connect(context)).withdrawKey(keyId)
     show(context, { withdrawn: keyId }, () => `key ${keyId} is withdrawn`)
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
 
@@ -59,7 +59,7 @@
       const list = await (await connect(context)).entries(kind, context.positionals[0])
       const more = list.total > list.entries.length ? [`and ${list.total - list.entries.length} more`] : []
       show(context, list, () => [formatEntries(list.entries), ...more].join('\n'))
-      return EXIT_DONE
+      return EXIT_SUCCESS
     }
   }
 }
@@ -71,7 +71,7 @@
   run: async context => {
     const status = await (await connect(context)).status()
     show(context, status, () => formatStatus(status))
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
 
@@ -85,7 +85,7 @@
     if (!isSubjectKind(kind) || id === undefined) throw new UsageError(`Say what to explain: magnoliabay explain ${SUBJECT_KINDS.join('|')} ID`)
     const explanation = await (await connect(context)).explain(kind, id)
     show(context, explanation, () => formatExplanation(explanation))
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
 
@@ -97,7 +97,7 @@
     const records = await (await connect(context)).audit()
     const rows = records.map(record => [new Date(record.atMs).toISOString(), record.operator, record.action, record.subject, record.detail, record.instance])
     show(context, records, () => formatTable(['time', 'operator', 'action', 'subject', 'detail', 'at'], rows))
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
 
@@ -111,7 +111,7 @@
     if (instance === undefined) throw new UsageError('Say which instance: magnoliabay drain INSTANCE')
     await (await connect(context)).drain(instance)
     context.print(`${instance} is drained; its open requests end by themselves. It may be stopped.`)
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
 
@@ -127,7 +127,7 @@
     }
     await (await connect(context)).declareGone(instance, incarnation)
     context.print(`${incarnation} counts as gone. If it lives after all, stop it now.`)
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
 
@@ -139,16 +139,16 @@
     const report = await (await connect(context)).report()
     const { html } = context.values
     if (typeof html === 'string') {
-      await writeFile(html, renderReport(report))
+      await writeFile(html, renderReportHtml(report))
       context.print(html)
-      return EXIT_DONE
+      return EXIT_SUCCESS
     }
-    show(context, report, () => formatReport(report))
-    return EXIT_DONE
+    show(context, report, () => formatReportTable(report))
+    return EXIT_SUCCESS
   }
 }
 
-export const operatorCommands: readonly Command[] = [
+export const operatorCliCommands: readonly Command[] = [
   keyCommand, entryCommand('team'), entryCommand('service'), entryCommand('model'), entryCommand('adapter'),
   statusCommand, explainCommand, reportCommand, drainCommand, declareGoneCommand, auditCommand
 ]
--- a/packages/magnoliabay/src/node/commands/platform.ts
+++ b/packages/magnoliabay/src/node/commands/platform.ts
@@ -1,15 +1,15 @@
 /** `magnoliabay platform`: one instance on the users' platform, which lays down its settings. */
 import { readFile } from 'node:fs/promises'
-import { createActivity, loopTurns } from '../activity'
+import { createWakeupCounter, eventLoopIterations } from '../wakeups'
 import { createSystemClock, repeat } from '../clock'
 import { createLogger } from '../logger'
 import { createLogSink } from '../logSink'
-import { SETTINGS_VARIABLE, createDiscovery, createEngineCalls, createKvStore, platformWire, readPlatformSettings } from '../platform'
+import { SETTINGS_PATH_VARIABLE, createDiscovery, createEngineCalls, createMetadataStore, platformProtocol, readPlatformSettings } from '../platform'
 import { createServingInstance } from '../serving/servingInstance'
 import { messageOf } from '../utils'
-import { EXIT_DONE, EXIT_USAGE } from './types'
+import { EXIT_SUCCESS, EXIT_USAGE } from './types'
 import type { Command } from './types'
-import { untilSignal } from './untilSignal'
+import { untilSignal } from './shutdownSignal'
 
 /** How often it is told what has woken the process so far, milliseconds. */
 const TELL_ACTIVITY_PERIOD_MS = 10_000
@@ -19,12 +19,12 @@
 
 export const platformCommand: Command = {
   name: 'platform',
-  summary: `Run one instance on the users' platform; ${SETTINGS_VARIABLE} names its settings file.`,
+  summary: `Run one instance on the users' platform; ${SETTINGS_PATH_VARIABLE} names its settings file.`,
   options: {},
   run: async ({ env, printError }) => {
-    const file = env[SETTINGS_VARIABLE]
+    const file = env[SETTINGS_PATH_VARIABLE]
     if (file === undefined) {
-      printError(`${SETTINGS_VARIABLE} must name the settings file that the platform lays down.`)
+      printError(`${SETTINGS_PATH_VARIABLE} must name the settings file that the platform lays down.`)
       return EXIT_USAGE
     }
     const text = await readFile(file, 'utf8').catch((err: unknown) => ({ problem: messageOf(err) }))
@@ -37,23 +37,23 @@
       settings.val.forEach(({ path, message }) => printError(`${file}: ${path}: ${message}`))
       return EXIT_USAGE
     }
-    const activity = createActivity()
+    const activity = createWakeupCounter()
     const clock = createSystemClock(() => activity.note('timer'))
     const sink = createLogSink({ clock })
     const logger = createLogger({ write: sink.write })
-    const store = createKvStore({ address: settings.val.store.address, clock, logger })
-    const instance = createServingInstance({ settings: settings.val, wire: platformWire, store, engines: createEngineCalls(clock), activity, clock, logger, random: Math.random })
+    const store = createMetadataStore({ address: settings.val.store.address, clock, logger })
+    const instance = createServingInstance({ settings: settings.val, wire: platformProtocol, store, engines: createEngineCalls(clock), activity, clock, logger, random: Math.random })
     const discovery = createDiscovery({
-      readiness: settings.val.listen.readiness,
-      resolution: settings.val.listen.resolution,
+      readinessAddress: settings.val.listen.readiness,
+      resolutionAddress: settings.val.listen.resolution,
       isReady: instance.isReady,
-      addressesFor: instance.addressesFor,
-      maxResolutionMs: settings.val.maxResolutionMs
+      addressesFor: instance.entryAddressesFor,
+      maxResolutionTtlMs: settings.val.maxResolutionTtlMs
     })
     process.on('SIGHUP', () => logger.info('settings-reload', { outcome: 'nothing that changes while a process runs' }))
     const tellActivity = (): void => {
       const { user, system } = process.cpuUsage()
-      logger.info('process-activity', { turns: loopTurns(), processorMs: Math.round((user + system) / MICROSECONDS_PER_MS), causes: [...activity.counts()].map(([cause, count]) => `${cause}: ${count}`) })
+      logger.info('process-activity', { turns: eventLoopIterations(), processorMs: Math.round((user + system) / MICROSECONDS_PER_MS), causes: [...activity.counts()].map(([cause, count]) => `${cause}: ${count}`) })
     }
     repeat(clock, TELL_ACTIVITY_PERIOD_MS, new AbortController().signal, tellActivity)
     await discovery.start()
@@ -64,6 +64,6 @@
     logger.info('instance-stopped', { linesLeftOut: sink.dropped() })
     await sink.flush(LAST_LINES_MS)
     // Sockets that callers still hold must not keep the process past its grace period.
-    process.exit(EXIT_DONE)
+    process.exit(EXIT_SUCCESS)
   }
 }
--- a/packages/magnoliabay/src/node/commands/serve.ts
+++ b/packages/magnoliabay/src/node/commands/serve.ts
@@ -7,9 +7,9 @@
 import { createEtcdStore, createInstanceListClient } from '../store'
 import { createCertificates } from '../tls'
 import { messageOf } from '../utils'
-import { EXIT_DONE, EXIT_USAGE } from './types'
+import { EXIT_SUCCESS, EXIT_USAGE } from './types'
 import type { Command } from './types'
-import { untilSignal } from './untilSignal'
+import { untilSignal } from './shutdownSignal'
 
 export const serveCommand: Command = {
   name: 'serve',
@@ -47,6 +47,6 @@
     await instance.shutdown()
     stop.abort()
     await store.close()
-    return EXIT_DONE
+    return EXIT_SUCCESS
   }
 }
--- a/packages/magnoliabay/src/node/commands/standIns.ts
+++ b/packages/magnoliabay/src/node/commands/standIns.ts
@@ -1,7 +1,7 @@
 /** The stand-ins that `magnoliabay dev` and the embedded default run against. */
 import { createStandInFleet } from '@magnoliabay/standins'
 import type { StandInFleet, StandInFleetOptions } from '@magnoliabay/standins'
-import { EMBEDDED_REGION } from './embeddedFleet'
+import { EMBEDDED_REGION } from './embeddedConfig'
 
 export interface StandInsOptions {
   /** First of their ports; 0 takes any free ones. @default 0 */
--- a/packages/magnoliabay/src/node/commands/trace.ts
+++ b/packages/magnoliabay/src/node/commands/trace.ts
@@ -2,7 +2,7 @@
 import { text } from 'node:stream/consumers'
 import { traceRequest } from '../logTrace'
 import type { Trace } from '../logTrace'
-import { EXIT_DONE, EXIT_FAILED, EXIT_USAGE } from './types'
+import { EXIT_SUCCESS, EXIT_FAILED, EXIT_USAGE } from './types'
 import type { Command } from './types'
 
 export const traceCommand: Command = {
@@ -19,7 +19,7 @@
     const lines = (await text(process.stdin)).split('\n')
     const trace = traceRequest(lines, id)
     print(formatTrace(trace))
-    return trace.own.length === 0 ? EXIT_FAILED : EXIT_DONE
+    return trace.requestEntries.length === 0 ? EXIT_FAILED : EXIT_SUCCESS
   }
 }
 
@@ -27,9 +27,9 @@
 export function formatTrace (trace: Trace): string {
   const section = (title: string, lines: readonly string[]): string[] => lines.length === 0 ? [] : [title, ...lines.map(line => `  ${line}`), '']
   return [
-    ...section('The request:', trace.own.map(entry => entry.line)),
-    ...section('What was believed and done around it:', trace.around.map(entry => entry.line)),
+    ...section('The request:', trace.requestEntries.map(entry => entry.line)),
+    ...section('What was believed and done around it:', trace.relatedEntries.map(entry => entry.line)),
     ...section('Cause:', trace.cause === undefined ? [] : [trace.cause]),
-    ...section('Not told:', trace.missing)
+    ...section('Not told:', trace.gaps)
   ].join('\n').trimEnd()
 }
--- a/packages/magnoliabay/src/node/commands/types.ts
+++ b/packages/magnoliabay/src/node/commands/types.ts
@@ -2,11 +2,11 @@
 import type { Logger } from '../logger'
 
 /** Exit codes of the program. */
-export const EXIT_DONE = 0
+export const EXIT_SUCCESS = 0
 export const EXIT_FAILED = 1
 export const EXIT_USAGE = 2
 
-export type ExitCode = typeof EXIT_DONE | typeof EXIT_FAILED | typeof EXIT_USAGE
+export type ExitCode = typeof EXIT_SUCCESS | typeof EXIT_FAILED | typeof EXIT_USAGE
 
 export interface OptionDescription {
   type: 'string' | 'boolean'
--- a/packages/magnoliabay/src/node/config/__tests__/fakes.ts
+++ b/packages/magnoliabay/src/node/config/__tests__/fakes.ts
@@ -5,17 +5,17 @@
 import { createMemoryNetwork } from '../../members/memoryNetwork'
 import type { MemberRecord } from '../../members'
 import { auditWrite } from '../../operators/audit'
-import { createAcceptor } from '../accept'
-import type { Acceptor, ApplyRequest } from '../accept'
-import { prepareDocument } from '../body'
-import { createConfigHolder } from '../holder'
-import type { ConfigHolder } from '../holder'
+import { createConfigCommitter } from '../configCommitter'
+import type { ConfigCommitter, ApplyRequest } from '../configCommitter'
+import { encodeDocument } from '../documentBody'
+import { createConfigProvider } from '../configProvider'
+import type { ConfigProvider } from '../configProvider'
 import { parseTomlText } from '../schema'
 
 export interface ConfigNode {
   id: string
-  holder: ConfigHolder
-  acceptor: Acceptor
+  holder: ConfigProvider
+  acceptor: ConfigCommitter
   stop: () => void
 }
 
@@ -30,9 +30,9 @@
   const add = (id: string, site = 'tin'): ConfigNode => {
     const peers = network.join(memberOf(id))
     const store = createDirectStore(state, { clock, faults, counter, caller: id })
-    const holder = createConfigHolder({ store, peers, site, clock, logger })
+    const holder = createConfigProvider({ store, peers, site, clock, logger })
     const audit = () => auditWrite({ atMs: clock.now(), operator: 'ann', action: 'config-applied', subject: '', detail: '', instance: id })
-    const acceptor = createAcceptor({ store, peers, holder, audit, clock, logger })
+    const acceptor = createConfigCommitter({ store, peers, configProvider: holder, audit, clock, logger })
     const controller = new AbortController()
     holder.start(controller.signal)
     return { id, holder, acceptor, stop: () => controller.abort() }
@@ -41,7 +41,7 @@
 }
 
 export function change (document: string, expectedVersion: number, text: string, changeId = `change-${expectedVersion}`): ApplyRequest {
-  const prepared = prepareDocument(document, parseTomlText(`${document}.toml`, text).unwrap()).unwrap()
+  const prepared = encodeDocument(document, parseTomlText(`${document}.toml`, text).unwrap()).unwrap()
   return { ...prepared, document, expectedVersion, changeId, operator: 'ann', note: '' }
 }
 
--- a/packages/magnoliabay/src/node/config/accept.ts
+++ b/packages/magnoliabay/src/node/config/configCommitter.ts
@@ -10,12 +10,12 @@
 import type { Compare, PutOperation, Store, StoreError } from '../store'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import type { DocumentBody } from './body'
-import { BASE_DOCUMENT, chunkKey, digestsOf, fileOf, headKey, historyKey, parseManifest } from './documents'
+import type { DocumentBody } from './documentBody'
+import { BASE_DOCUMENT, chunkKey, digestsOf, documentFileName, headKey, historyKey, parseManifest } from './documents'
 import type { ChunkContents, Head, Manifest } from './documents'
 import { dropOldVersions } from './dropOldVersions'
-import { headOf } from './held'
-import type { ConfigHolder } from './holder'
+import { headOf } from './loadedDocument'
+import type { ConfigProvider } from './configProvider'
 import { readHeads, readVersion } from './queries'
 import type { ReadError, StoredHead } from './queries'
 import { resolveFleet } from './resolveFleet'
@@ -47,14 +47,14 @@
   | { kind: 'unknown', changeId: string, cause: StoreError }
   | { kind: 'store', cause: StoreError }
 
-export interface Acceptor {
+export interface ConfigCommitter {
   apply (req: ApplyRequest): Promise<Result<Manifest, ApplyError>>
 }
 
 export interface AcceptorOptions {
   store: Store
   peers: Peers
-  holder: ConfigHolder
+  configProvider: ConfigProvider
   /** Written together with the change: who made it. */
   audit: (manifest: Manifest) => PutOperation
   clock: Clock
@@ -72,8 +72,8 @@
   | { kind: 'settled', result: Result<Manifest, ApplyError> }
   | { kind: 'again', mayHaveWritten: boolean, cause: StoreError }
 
-export function createAcceptor (options: AcceptorOptions): Acceptor {
-  const { store, holder, clock, logger } = options
+export function createConfigCommitter (options: AcceptorOptions): ConfigCommitter {
+  const { store, configProvider: holder, clock, logger } = options
 
   /**
    * Tries until the deadline. A try whose answer was lost may take effect at any time later; the next
@@ -125,17 +125,17 @@
   const check = async (req: ApplyRequest, heads: ReadonlyMap<string, StoredHead>): Promise<Result<CheckedChange, Attempt>> => {
     const known = heads.get(req.document)?.head
     const manifest = manifestOf(req, nextVersion(req, known))
-    const changed = await readVersion({ store, holder, clock }, manifest, req.chunks)
+    const changed = await readVersion({ store, configProvider: holder, clock }, manifest, req.chunks)
     if (changed.err) return Err(attemptOf(changed.val))
     const others = [...heads.values()].flatMap(({ head }) => head === undefined || head.manifest.document === req.document ? [] : [head])
     const partners = others.filter(head => req.document === BASE_DOCUMENT || head.manifest.document === BASE_DOCUMENT)
     const bodies: DocumentBody[] = []
     for (const head of partners) {
-      const partner = await readVersion({ store, holder, clock }, head.manifest, head.inline)
+      const partner = await readVersion({ store, configProvider: holder, clock }, head.manifest, head.inline)
       if (partner.err) return Err(attemptOf(partner.val))
       bodies.push(partner.val.body)
     }
-    const problems = checkTogether(req.document, changed.val.body, bodies, holder.resolved())
+    const problems = checkTogether(req.document, changed.val.body, bodies, holder.resolvedFleet())
     if (problems.length > 0) return Err(settled(Err({ kind: 'config', cause: { kind: 'schema', problems } })))
     return Ok({ manifest, contents: changed.val.contents, partners: partners.map(head => head.manifest.document) })
   }
@@ -168,7 +168,7 @@
     if (written.err) return again(written.val, written.val.kind === 'unknown')
     if (!written.val.succeeded) return again({ kind: 'unavailable', message: 'The configuration changed meanwhile.' }, false)
     logger.info('config-accepted', { document: req.document, version: manifest.version, change: req.changeId, operator: req.operator })
-    holder.offer(head)
+    holder.publish(head)
     dropOldVersions({ store, logger }, req.document)
     return settled(Ok(manifest))
   }
@@ -185,12 +185,12 @@
 
   const accepted = (manifest: Manifest, req: ApplyRequest, current: StoredHead | undefined): Manifest => {
     logger.info('config-accepted-before', { document: req.document, version: manifest.version, change: req.changeId })
-    if (current?.head !== undefined) holder.offer(current.head)
+    if (current?.head !== undefined) holder.publish(current.head)
     return manifest
   }
   const nextVersion = (req: ApplyRequest, head: Head | undefined): number =>
     // Above what is in force here as well: a store that came back with less must not cause a version twice.
-    Math.max(head?.manifest.version ?? 0, holder.held(req.document)?.manifest.version ?? 0, req.expectedVersion) + 1
+    Math.max(head?.manifest.version ?? 0, holder.latestDocument(req.document)?.manifest.version ?? 0, req.expectedVersion) + 1
   const manifestOf = (req: ApplyRequest, version: number): Manifest => ({
     document: req.document,
     version,
@@ -216,7 +216,7 @@
 function checkTogether (document: string, changed: DocumentBody, partners: readonly DocumentBody[], inForce: ResolvedFleet | undefined): ConfigError['problems'] {
   if (document !== BASE_DOCUMENT) {
     const base = partners[0]
-    if (base === undefined) return [{ file: fileOf(document), path: '', found: 'an overlay without a base', allowed: `an accepted ${fileOf(BASE_DOCUMENT)} first` }]
+    if (base === undefined) return [{ file: documentFileName(document), path: '', found: 'an overlay without a base', allowed: `an accepted ${documentFileName(BASE_DOCUMENT)} first` }]
     const resolved = resolveFleet(base, changed, inForce)
     return resolved.err ? resolved.val.problems : []
   }
