--- a/packages/magnoliabay/src/node/config/holder.ts
+++ b/packages/magnoliabay/src/node/config/configProvider.ts
@@ -15,14 +15,14 @@
 import { fetchChunks } from './fetchChunks'
 import { EMPTY_FLEET } from './fleet'
 import type { AdapterConfig, FleetConfig, ModelConfig, ServiceConfig, TeamConfig } from './fleet'
-import { headOf, missingChunks, pickContents, readHeld } from './held'
-import type { HeldDocument } from './held'
+import { headOf, missingChunks, pickContents, loadDocument } from './loadedDocument'
+import type { LoadedDocument } from './loadedDocument'
 import { resolveFleet } from './resolveFleet'
 import type { ResolvedFleet } from './resolveFleet'
 import { formatProblem } from './schema'
-import { MAX_CHUNK_ANSWER_BYTES, configAccepted, configChunks, configHead, configInForce, configVersions } from './spread'
+import { MAX_CHUNK_ANSWER_BYTES, configAcceptedNotice, configChunksCall, configHeadCall, configInForceCall, configVersionsNotice } from './messages'
 
-export interface ConfigInForce {
+export interface ActiveConfig {
   /** Grows with every change in force; 0 before the first. The sum of the documents' versions. */
   version: number
   /** Versions of the base and of the site's overlay. */
@@ -30,8 +30,8 @@
   fleet: FleetConfig
 }
 
-export interface ConfigHolder {
-  inForce (): ConfigInForce
+export interface ConfigProvider {
+  active (): ActiveConfig
   team (name: string): TeamConfig | undefined
   model (name: string): ModelConfig | undefined
   adapter (name: string): AdapterConfig | undefined
@@ -39,11 +39,11 @@
   /** Called after a newer configuration came into force. */
   onChanged (listener: () => void): Disposer
   /** The newest version of a document held in full, in force or not. */
-  held (document: string): HeldDocument | undefined
+  latestDocument (document: string): LoadedDocument | undefined
   /** What is in force, for checks of a change that leaves most of it as it is. */
-  resolved (): ResolvedFleet | undefined
+  resolvedFleet (): ResolvedFleet | undefined
   /** Takes a version that this instance has accepted itself, and tells the peers. */
-  offer (head: Head): void
+  publish (head: Head): void
   start (signal: AbortSignal): void
 }
 
@@ -69,15 +69,15 @@
 /** Every so often one peer in turn is told what is held here: what a lost notice costs at most. */
 const VERSIONS_PERIOD_MS = 2000
 
-export function createConfigHolder (options: ConfigHolderOptions): ConfigHolder {
+export function createConfigProvider (options: ConfigHolderOptions): ConfigProvider {
   const { store, peers, clock, logger } = options
   const documents = [BASE_DOCUMENT, siteDocument(options.site)]
   const changed = createListeners<[]>()
-  const held = new Map<string, HeldDocument>()
+  const held = new Map<string, LoadedDocument>()
   const wanted = new Map<string, WantedVersion>()
   const fetching = new Set<string>()
   const stopped = new AbortController()
-  let inForce: ConfigInForce = { version: 0, documents: [], fleet: EMPTY_FLEET }
+  let inForce: ActiveConfig = { version: 0, documents: [], fleet: EMPTY_FLEET }
   let resolved: ResolvedFleet | undefined
   let nextPeer = 0
 
@@ -120,7 +120,7 @@
   const adopt = async (head: Head, source: Source, found: ReadonlyMap<string, string>): Promise<void> => {
     const { document, version } = head.manifest
     const before = held.get(document)
-    const read = await readHeld(head.manifest, before, found, () => sleep(clock, 0))
+    const read = await loadDocument(head.manifest, before, found, () => sleep(clock, 0))
     if (wanted.get(document)?.head === head) wanted.delete(document)
     if (read.err) {
       return logger.error('config-refused', { document, version, reason: read.val.problems.slice(0, 1).map(formatProblem)[0] })
@@ -128,7 +128,7 @@
     held.set(document, read.val)
     logger.info('config-held', { document, version, source: source.kind, from: source.kind === 'peer' ? source.id : undefined })
     // Only the instance that accepted it tells everybody: were each to pass it on, 420 would send 420 times that.
-    if (source.kind === 'self') peers.notifyAll(configAccepted, headOf(head.manifest, read.val.contents, before?.manifest))
+    if (source.kind === 'self') peers.notifyAll(configAcceptedNotice, headOf(head.manifest, read.val.contents, before?.manifest))
     bringIntoForce()
   }
   /** Two documents may arrive in the other order than they were accepted: the old pair holds until the new one fits. */
@@ -159,42 +159,42 @@
   const tellVersions = (): void => {
     const others = partnersOf(peers)
     const partner = others[nextPeer++ % Math.max(1, others.length)]
-    if (partner !== undefined) peers.notify(partner.id, configVersions, { versions: versions() })
+    if (partner !== undefined) peers.notify(partner.id, configVersionsNotice, { versions: versions() })
   }
   const compareVersions = async (theirs: readonly DocumentVersion[], from: string): Promise<void> => {
     const theirVersion = (document: string): number => theirs.find(one => one.document === document)?.version ?? 0
     documents
       .filter(document => theirVersion(document) < heldVersion(document))
-      .forEach(document => peers.notify(from, configAccepted, headHeld(document)!))
+      .forEach(document => peers.notify(from, configAcceptedNotice, headHeld(document)!))
     for (const document of documents.filter(document => theirVersion(document) > heldVersion(document))) {
-      const answer = await peers.call(from, configHead, { document })
+      const answer = await peers.call(from, configHeadCall, { document })
       const head = answer.ok ? checkHead(answer.val.head) : undefined
       if (head !== undefined) take(head, { kind: 'peer', id: from })
     }
   }
 
-  peers.listen(configAccepted, (body, from) => {
+  peers.listen(configAcceptedNotice, (body, from) => {
     const head = checkHead(body)
     if (head !== undefined) take(head, { kind: 'peer', id: from.id })
   })
-  peers.listen(configVersions, (body, from) => { compareVersions(body.versions, from.id) })
-  peers.serve(configHead, ({ document }) => ({ head: headHeld(document) }))
-  peers.serve(configChunks, ({ digests }) => ({
+  peers.listen(configVersionsNotice, (body, from) => { compareVersions(body.versions, from.id) })
+  peers.serve(configHeadCall, ({ document }) => ({ head: headHeld(document) }))
+  peers.serve(configChunksCall, ({ digests }) => ({
     contents: pickContents(digests, digest => contentHeld(held, digest), MAX_CHUNK_ANSWER_BYTES)
   }))
-  peers.serve(configInForce, () => ({ versions: [...inForce.documents], follows: documents }))
-  peers.onConnected(member => peers.notify(member.id, configVersions, { versions: versions() }))
+  peers.serve(configInForceCall, () => ({ versions: [...inForce.documents], follows: documents }))
+  peers.onConnected(member => peers.notify(member.id, configVersionsNotice, { versions: versions() }))
 
   return {
-    inForce: () => inForce,
+    active: () => inForce,
     team: name => resolved?.teams.get(name),
     model: name => resolved?.models.get(name),
     adapter: name => resolved?.adapter(name),
     service: name => resolved?.services.get(name),
     onChanged: changed.add,
-    held: document => held.get(document),
-    resolved: () => resolved,
-    offer: head => take(head, { kind: 'self' }),
+    latestDocument: document => held.get(document),
+    resolvedFleet: () => resolved,
+    publish: head => take(head, { kind: 'self' }),
     start: signal => {
       signal.addEventListener('abort', () => stopped.abort(), { once: true })
       store.watch(HEADS_PREFIX, {
@@ -206,7 +206,7 @@
   }
 }
 
-function contentHeld (held: ReadonlyMap<string, HeldDocument>, digest: string): string | undefined {
+function contentHeld (held: ReadonlyMap<string, LoadedDocument>, digest: string): string | undefined {
   return [...held.values()].map(document => document.contents.get(digest)).find(content => content !== undefined)
 }
 
--- a/packages/magnoliabay/src/node/config/body.ts
+++ b/packages/magnoliabay/src/node/config/documentBody.ts
@@ -6,7 +6,7 @@
 import type { Result } from '../result'
 import { bucketOf, encodeChunk, decodeChunk, splitIntoBuckets } from './chunks'
 import type { Chunk } from './chunks'
-import { BASE_DOCUMENT, fileOf } from './documents'
+import { BASE_DOCUMENT, documentFileName } from './documents'
 import type { ChunkContents, Manifest } from './documents'
 import { adapterSchema, baseSchema, overlayAdapterSchema, overlaySchema } from './fleet'
 import type { AdapterConfig, FleetConfig, ModelConfig, ServiceConfig, TeamConfig } from './fleet'
@@ -44,15 +44,15 @@
   adapters: readonly AdapterBucket[]
 }
 
-export interface PreparedDocument {
+export interface EncodedDocument {
   core: string
   adapters: string[]
   chunks: ChunkContents
 }
 
 /** Checks a whole file as parsed from TOML and cuts it into chunks. */
-export function prepareDocument (document: string, value: Record<string, unknown>): Result<PreparedDocument, ConfigError> {
-  const file = fileOf(document)
+export function encodeDocument (document: string, value: Record<string, unknown>): Result<EncodedDocument, ConfigError> {
+  const file = documentFileName(document)
   const { adapter, ...rest } = value
   const core = checkConfig(file, rest, coreSchemaOf(document))
   const adapters = checkConfig(file, { adapter }, v.strictObject({ adapter: v.optional(v.array(adapterSchemaOf(document)), []) }))
@@ -64,7 +64,7 @@
   return toChunks(file, rest as DocumentCore, written)
 }
 
-function toChunks (file: string, core: DocumentCore, adapters: readonly AdapterEntry[]): Result<PreparedDocument, ConfigError> {
+function toChunks (file: string, core: DocumentCore, adapters: readonly AdapterEntry[]): Result<EncodedDocument, ConfigError> {
   const encoded = [core, ...splitIntoBuckets(adapters)].map(encodeChunk)
   const chunks: Chunk[] = []
   for (const chunk of encoded) {
@@ -81,7 +81,7 @@
 
 /** Reads and checks one chunk with everything but the adapters. */
 export function readCore (document: string, chunk: Chunk): Result<DocumentCore, ConfigError> {
-  const file = fileOf(document)
+  const file = documentFileName(document)
   const value = decodeChunk(chunk)
   if (value.err) return Err(damaged(file, chunk.digest, value.val.kind))
   const checked = checkConfig(file, value.val, coreSchemaOf(document))
@@ -97,7 +97,7 @@
 
 /** Reads and checks one bucket of adapters. A name in the wrong bucket would never be found again. */
 export function readBucket (document: string, chunk: Chunk, position: BucketPosition): Result<AdapterBucket, ConfigError> {
-  const file = fileOf(document)
+  const file = documentFileName(document)
   const value = decodeChunk(chunk)
   if (value.err) return Err(damaged(file, chunk.digest, value.val.kind))
   const checked = checkAdapters(document, value.val)
@@ -133,7 +133,7 @@
  */
 function checkAdapters (document: string, value: unknown): Result<AdapterEntry[], ConfigError> {
   if (Array.isArray(value) && value.every(isPlainlyRight)) return Ok(value as AdapterEntry[])
-  return checkConfig(fileOf(document), value, v.array(adapterSchemaOf(document))) as Result<AdapterEntry[], ConfigError>
+  return checkConfig(documentFileName(document), value, v.array(adapterSchemaOf(document))) as Result<AdapterEntry[], ConfigError>
 }
 
 const PLAIN_NAME = /^[a-z0-9][a-z0-9._-]*$/
--- a/packages/magnoliabay/src/node/config/documents.ts
+++ b/packages/magnoliabay/src/node/config/documents.ts
@@ -6,14 +6,14 @@
  * being with one compare-and-swap of the document's head; chunks written before that are invisible.
  */
 import * as v from 'valibot'
-import { STORE_ROOT } from '../constants'
+import { STORE_KEY_PREFIX } from '../constants'
 import { parseJson } from '../utils'
 
 export const BASE_DOCUMENT = 'base'
 const SITE_PREFIX = 'sites/'
 const DOCUMENT_FORM = /^(base|sites\/[a-z0-9][a-z0-9._-]*)$/
 
-export const CONFIG_ROOT = `${STORE_ROOT}/config/`
+export const CONFIG_ROOT = `${STORE_KEY_PREFIX}/config/`
 export const HEADS_PREFIX = `${CONFIG_ROOT}heads/`
 const CHUNKS_PREFIX = `${CONFIG_ROOT}chunks/`
 const HISTORY_PREFIX = `${CONFIG_ROOT}history/`
@@ -70,7 +70,7 @@
 }
 
 /** File name of a document, as operators know it. */
-export function fileOf (document: string): string {
+export function documentFileName (document: string): string {
   return `${document}.toml`
 }
 
--- a/packages/magnoliabay/src/node/config/fetchChunks.ts
+++ b/packages/magnoliabay/src/node/config/fetchChunks.ts
@@ -3,7 +3,7 @@
 import type { Store } from '../store'
 import { isWhole } from './chunks'
 import { chunkKey } from './documents'
-import { CHUNK_CALL_TIMEOUT_MS, configChunks } from './spread'
+import { CHUNK_CALL_TIMEOUT_MS, configChunksCall } from './messages'
 
 export interface ChunkSources {
   store: Store
@@ -33,7 +33,7 @@
 
 async function askPeer (peers: Peers, id: string, lacking: () => string[], found: Map<string, string>): Promise<void> {
   while (lacking().length > 0) {
-    const answer = await peers.call(id, configChunks, { digests: lacking() }, { timeoutMs: CHUNK_CALL_TIMEOUT_MS })
+    const answer = await peers.call(id, configChunksCall, { digests: lacking() }, { timeoutMs: CHUNK_CALL_TIMEOUT_MS })
     if (answer.err) return
     const received = Object.entries(answer.val.contents).filter(([digest, content]) => isWhole(digest, content))
     if (received.length === 0) return
--- a/packages/magnoliabay/src/node/config/held.ts
+++ b/packages/magnoliabay/src/node/config/loadedDocument.ts
@@ -3,13 +3,13 @@
  */
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { chunkOf, readBucket, readCore } from './body'
-import type { AdapterBucket, DocumentBody } from './body'
+import { chunkOf, readBucket, readCore } from './documentBody'
+import type { AdapterBucket, DocumentBody } from './documentBody'
 import { digestsOf } from './documents'
 import type { ChunkContents, Head, Manifest } from './documents'
 import type { ConfigError } from './schema'
 
-export interface HeldDocument {
+export interface LoadedDocument {
   manifest: Manifest
   body: DocumentBody
   /** Contents of the manifest's chunks, for peers that ask. */
@@ -20,7 +20,7 @@
 const MAX_INLINE_BYTES = 64 * 1024
 
 /** Digests of `manifest` that neither `before` nor `found` has. */
-export function missingChunks (manifest: Manifest, before: HeldDocument | undefined, found: ReadonlyMap<string, string>): string[] {
+export function missingChunks (manifest: Manifest, before: LoadedDocument | undefined, found: ReadonlyMap<string, string>): string[] {
   return digestsOf(manifest).filter(digest => !found.has(digest) && before?.contents.has(digest) !== true)
 }
 
@@ -28,7 +28,7 @@
  * Reads and checks a version whose chunks are all there. Buckets that `before` has are taken over.
  * `pause` is awaited between chunks, so that streams go on while 80,000 adapters are read.
  */
-export async function readHeld (manifest: Manifest, before: HeldDocument | undefined, found: ReadonlyMap<string, string>, pause: () => Promise<void>): Promise<Result<HeldDocument, ConfigError>> {
+export async function loadDocument (manifest: Manifest, before: LoadedDocument | undefined, found: ReadonlyMap<string, string>, pause: () => Promise<void>): Promise<Result<LoadedDocument, ConfigError>> {
   const contents = new Map(digestsOf(manifest).map(digest => [digest, found.get(digest) ?? before?.contents.get(digest) ?? '']))
   const core = before?.manifest.core === manifest.core
     ? Ok(before.body.core)
--- a/packages/magnoliabay/src/node/config/plan.ts
+++ b/packages/magnoliabay/src/node/config/plan.ts
@@ -1,8 +1,8 @@
 /** What a change would do: entries added, changed and removed at each site, and what follows from that. */
 import { resolveFleet } from './resolveFleet'
 import type { ResolvedFleet } from './resolveFleet'
-import { ENTRY_KINDS } from './body'
-import type { DocumentBody, EntryKind } from './body'
+import { ENTRY_KINDS } from './documentBody'
+import type { DocumentBody, EntryKind } from './documentBody'
 import { BASE_DOCUMENT } from './documents'
 import type { FleetConfig } from './fleet'
 import type { ConfigProblem } from './schema'
@@ -37,7 +37,7 @@
   | { kind: 'over-capacity', tokensPerSecond: number, capacityTokensPerSecond: number }
 
 /** What the fleet looks like now, as far as effects depend on it. */
-export interface PlanFacts {
+export interface CurrentUsage {
   replicasOf (model: string): number
   keysOf (team: string): readonly string[]
 }
@@ -56,7 +56,7 @@
 
 type Entry = Readonly<Record<string, unknown>> & { name: string }
 
-export function planChange ({ before, after }: PlanInput, facts: PlanFacts): Plan {
+export function planChange ({ before, after }: PlanInput, facts: CurrentUsage): Plan {
   const base = after.get(BASE_DOCUMENT)
   if (base === undefined) return { sites: [], problems: [{ file: 'base.toml', path: '', found: 'no base', allowed: 'a base before any overlay' }] }
   const documents = [BASE_DOCUMENT, ...[...after.keys()].filter(document => document !== BASE_DOCUMENT)]
@@ -68,7 +68,7 @@
       return []
     }
     const previous = resolvedBefore(before, document)
-    const changes = changesBetween(previous, next.val)
+    const changes = diffFleets(previous, next.val)
     return [{ site: document.replace(/^sites\//, ''), changes, effects: effectsOf(changes, next.val, facts) }]
   })
   return { sites, problems }
@@ -84,7 +84,7 @@
   return resolved?.ok === true ? resolved.val : undefined
 }
 
-export function changesBetween (before: ResolvedFleet | undefined, after: ResolvedFleet): EntryChange[] {
+export function diffFleets (before: ResolvedFleet | undefined, after: ResolvedFleet): EntryChange[] {
   const old = before?.fleet
   const wide = old === undefined ? [] : fieldChanges(wideFields(old), wideFields(after.fleet))
   const fleetWide: EntryChange[] = wide.length === 0 ? [] : [{ kind: 'fleet', name: 'fleet', change: 'changed', fields: wide }]
@@ -117,7 +117,7 @@
     .map(field => ({ field, before: before[field], after: after[field] }))
 }
 
-function effectsOf (changes: readonly EntryChange[], after: ResolvedFleet, facts: PlanFacts): PlanEffect[] {
+function effectsOf (changes: readonly EntryChange[], after: ResolvedFleet, facts: CurrentUsage): PlanEffect[] {
   const removed = (kind: EntryKind): EntryChange[] => changes.filter(change => change.kind === kind && change.change === 'removed')
   const evicted = removed('model')
     .map(({ name }): PlanEffect => ({ kind: 'model-evicted', model: name, replicas: facts.replicasOf(name) }))
--- a/packages/magnoliabay/src/node/config/queries.ts
+++ b/packages/magnoliabay/src/node/config/queries.ts
@@ -7,9 +7,9 @@
 import { isWhole } from './chunks'
 import { HEADS_PREFIX, chunkKey, historyKey, historyPrefix, parseHead, parseManifest } from './documents'
 import type { ChunkContents, Head, Manifest } from './documents'
-import { missingChunks, readHeld } from './held'
-import type { HeldDocument } from './held'
-import type { ConfigHolder } from './holder'
+import { missingChunks, loadDocument } from './loadedDocument'
+import type { LoadedDocument } from './loadedDocument'
+import type { ConfigProvider } from './configProvider'
 import type { ConfigError } from './schema'
 
 export interface StoredHead {
@@ -25,7 +25,7 @@
 
 export interface ReadSources {
   store: Store
-  holder: ConfigHolder
+  configProvider: ConfigProvider
   clock: Clock
 }
 
@@ -50,8 +50,8 @@
 }
 
 /** One version in full, from what is given, what this instance holds, and the store. */
-export async function readVersion (sources: ReadSources, manifest: Manifest, given: ChunkContents): Promise<Result<HeldDocument, ReadError>> {
-  const held = sources.holder.held(manifest.document)
+export async function readVersion (sources: ReadSources, manifest: Manifest, given: ChunkContents): Promise<Result<LoadedDocument, ReadError>> {
+  const held = sources.configProvider.latestDocument(manifest.document)
   const found = new Map(Object.entries(given).filter(([digest, content]) => isWhole(digest, content)))
   for (const digest of missingChunks(manifest, held, found)) {
     const entry = await sources.store.get(chunkKey(digest), { priority: 'config' })
@@ -60,6 +60,6 @@
   }
   const digests = missingChunks(manifest, held, found)
   if (digests.length > 0) return Err({ kind: 'missing-chunks', digests })
-  const read = await readHeld(manifest, held, found, () => sleep(sources.clock, 0))
+  const read = await loadDocument(manifest, held, found, () => sleep(sources.clock, 0))
   return read.err ? Err({ kind: 'config', cause: read.val }) : Ok(read.val)
 }
--- a/packages/magnoliabay/src/node/config/resolveFleet.ts
+++ b/packages/magnoliabay/src/node/config/resolveFleet.ts
@@ -5,9 +5,9 @@
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { bucketOf } from './chunks'
-import { fileOf } from './documents'
-import { ENTRY_KINDS } from './body'
-import type { AdapterBucket, AdapterEntry, DocumentBody, EntryKind } from './body'
+import { documentFileName } from './documents'
+import { ENTRY_KINDS } from './documentBody'
+import type { AdapterBucket, AdapterEntry, DocumentBody, EntryKind } from './documentBody'
 import { fleetSchema, modelSchema, serviceSchema, teamSchema, adapterSchema } from './fleet'
 import type { AdapterConfig, FleetConfig, ModelConfig, ServiceConfig, TeamConfig } from './fleet'
 import { checkConfig } from './schema'
@@ -62,7 +62,7 @@
     ...checkAllowed(base, overlay)
   )
   if (problems.length > 0) return Err({ kind: 'schema', problems })
-  const wide = checkConfig(fileOf(base.document), {
+  const wide = checkConfig(documentFileName(base.document), {
     cells: overlay?.core.cells ?? base.core.cells,
     capacityTokensPerSecond: overlay?.core.capacityTokensPerSecond ?? base.core.capacityTokensPerSecond,
     coldStartWorth: overlay?.core.coldStartWorth ?? base.core.coldStartWorth,
@@ -99,7 +99,7 @@
 
 function placed (body: DocumentBody | undefined, kind: 'team' | 'model' | 'service'): Array<Placed<Named>> {
   if (body === undefined) return []
-  return (body.core[kind] ?? []).map((entry, index) => ({ entry, file: fileOf(body.document), path: `${kind}.${index}` }))
+  return (body.core[kind] ?? []).map((entry, index) => ({ entry, file: documentFileName(body.document), path: `${kind}.${index}` }))
 }
 
 interface ResolvedAdapters {
@@ -110,12 +110,12 @@
 function resolveAdapters (base: DocumentBody, overlay: DocumentBody | undefined, without: ReadonlySet<string>, problems: ConfigProblem[]): ResolvedAdapters {
   const inBase = (name: string): AdapterConfig | undefined => without.has(name) ? undefined : findAdapter(base.adapters, name) as AdapterConfig | undefined
   const changed = new Map<string, AdapterConfig>()
-  entriesOf(overlay?.adapters ?? []).forEach(entry => {
-    const checked = checkConfig(fileOf(overlay!.document), { ...inBase(entry.name), ...entry }, adapterSchema)
+  adapterEntries(overlay?.adapters ?? []).forEach(entry => {
+    const checked = checkConfig(documentFileName(overlay!.document), { ...inBase(entry.name), ...entry }, adapterSchema)
     if (checked.ok) changed.set(entry.name, checked.val)
     else problems.push(...checked.val.problems.map(problem => ({ ...problem, path: `adapter ${entry.name}.${problem.path}` })))
   })
-  const kept = entriesOf(base.adapters) as AdapterConfig[]
+  const kept = adapterEntries(base.adapters) as AdapterConfig[]
   const isKept = changed.size === 0 && without.size === 0
     ? () => true
     : (entry: AdapterConfig) => !changed.has(entry.name) && !without.has(entry.name)
@@ -125,7 +125,7 @@
   }
 }
 
-export function entriesOf (buckets: readonly AdapterBucket[]): AdapterEntry[] {
+export function adapterEntries (buckets: readonly AdapterBucket[]): AdapterEntry[] {
   return buckets.flatMap(bucket => [...bucket.byName.values()])
 }
 
@@ -144,10 +144,10 @@
 
 function checkWithout (base: DocumentBody, overlay: DocumentBody | undefined): ConfigProblem[] {
   if (overlay === undefined) return []
-  const file = fileOf(overlay.document)
+  const file = documentFileName(overlay.document)
   return ENTRY_KINDS.flatMap(kind => (overlay.core.without?.[kind] ?? []).flatMap((name, index): ConfigProblem[] => {
     const path = `without.${kind}.${index}`
-    if (!has(base, kind, name)) return [{ file, path, found: name, allowed: `a ${kind} of ${fileOf(base.document)}` }]
+    if (!has(base, kind, name)) return [{ file, path, found: name, allowed: `a ${kind} of ${documentFileName(base.document)}` }]
     if (has(overlay, kind, name)) return [{ file, path, found: `${name}, which this file also names as ${kind}`, allowed: 'one of the two' }]
     return []
   }))
@@ -162,13 +162,13 @@
   const withoutModels = new Set(overlay?.core.without?.model ?? [])
   return adapters.filter(adapter => !models.has(adapter.model)).map(adapter => {
     const owner = overlay !== undefined && (withoutModels.has(adapter.model) || has(overlay, 'adapter', adapter.name)) ? overlay : base
-    return { file: fileOf(owner.document), path: `adapter ${adapter.name}.model`, found: adapter.model, allowed: 'a model that holds at this site' }
+    return { file: documentFileName(owner.document), path: `adapter ${adapter.name}.model`, found: adapter.model, allowed: 'a model that holds at this site' }
   })
 }
 
 /** Callers name models, adapters and services the same way, so no two of them may share a name. */
 function checkCallNames (base: DocumentBody, overlay: DocumentBody | undefined, models: ReadonlyMap<string, ModelConfig>, services: ReadonlyMap<string, ServiceConfig>, adapter: ResolvedAdapters['find']): ConfigProblem[] {
-  const file = fileOf((overlay ?? base).document)
+  const file = documentFileName((overlay ?? base).document)
   const taken = [...models.keys(), ...services.keys()].filter(name => adapter(name) !== undefined)
   const twice = [...services.keys()].filter(name => models.has(name))
   return [...taken, ...twice].map(name => ({ file, path: name, found: 'two of model, adapter and service with this name', allowed: 'one' }))
@@ -181,5 +181,5 @@
     bodies.some(body => (['model', 'adapter', 'service'] as const).some(kind => has(body, kind, name)))
   return bodies.flatMap(body => (body.core.team ?? []).flatMap((team, index) => (team.allow ?? [])
     .filter(name => !isKnown(name))
-    .map(name => ({ file: fileOf(body.document), path: `team.${index}.allow`, found: name, allowed: 'a model, an adapter, a service, or *' }))))
+    .map(name => ({ file: documentFileName(body.document), path: `team.${index}.allow`, found: name, allowed: 'a model, an adapter, a service, or *' }))))
 }
--- a/packages/magnoliabay/src/node/decayingRate.ts
+++ b/packages/magnoliabay/src/node/decayingRate.ts
@@ -1,7 +1,7 @@
 /** A rate a second, averaged over the last while: older amounts fade away exponentially. */
 
 export interface DecayingRate {
-  note (amount: number, nowMs: number): void
+  add (amount: number, nowMs: number): void
   /** Amount a second. */
   read (nowMs: number): number
   /** Forgets what was noted before. */
@@ -19,7 +19,7 @@
     atMs = now
   }
   return {
-    note: (amount, now) => {
+    add: (amount, now) => {
       decay(now)
       average += amount / averagedOverMs * MS_PER_SECOND
     },
--- a/packages/magnoliabay/src/node/entry/access.ts
+++ b/packages/magnoliabay/src/node/entry/authorization.ts
@@ -1,9 +1,9 @@
 /** What a team may call. */
-import type { ConfigHolder } from '../config'
+import type { ConfigProvider } from '../config'
 
 const EVERYTHING = '*'
 
-export function mayCall (cfg: ConfigHolder, team: string, name: string): boolean {
+export function mayCall (cfg: ConfigProvider, team: string, name: string): boolean {
   const allowed = cfg.team(team)?.allow ?? []
   return allowed.includes(EVERYTHING) || allowed.includes(name)
 }
--- a/packages/magnoliabay/src/node/entry/badInput.ts
+++ b/packages/magnoliabay/src/node/entry/clientErrors.ts
@@ -3,7 +3,7 @@
 import { STATUS_CODES } from 'node:http'
 import type { Duplex } from 'node:stream'
 import type { Clock } from '../clock'
-import { failureBody, httpStatusOf, refusal } from '../failures'
+import { failureBody, httpStatusOf, createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import { createId } from '../utils'
 import { sendFailure } from './respond'
@@ -22,10 +22,10 @@
 const DISCARD_MS = 2000
 
 const REFUSALS: Readonly<Record<string, Failure>> = {
-  HPE_HEADER_OVERFLOW: refusal('headers_too_large', 'The headers are larger than this server takes.'),
-  ERR_HTTP_REQUEST_TIMEOUT: refusal('body_timeout', 'The request did not arrive in time.')
+  HPE_HEADER_OVERFLOW: createRefusal('headers_too_large', 'The headers are larger than this server takes.'),
+  ERR_HTTP_REQUEST_TIMEOUT: createRefusal('body_timeout', 'The request did not arrive in time.')
 }
-const NOT_HTTP = refusal('bad_request', 'This is no HTTP request.')
+const NOT_HTTP = createRefusal('bad_request', 'This is no HTTP request.')
 
 /**
  * Answers bad input with a typed error and closes its connection.
@@ -34,7 +34,7 @@
  * default writes `400 Bad Request` at once: the caller would take that for the answer to a request that
  * is running. One whose own body breaks off in bad bytes is itself refused.
  */
-export function answerBadInput (server: Server, clock: Clock): void {
+export function handleClientErrors (server: Server, clock: Clock): void {
   const latest = new WeakMap<Duplex, Exchange>()
   server.on('request', (req, res) => {
     latest.set(req.socket, { req, res })
--- a/packages/magnoliabay/src/node/entry/completionRequest.ts
+++ b/packages/magnoliabay/src/node/entry/completionRequest.ts
@@ -1,6 +1,6 @@
 /** Reads an OpenAI-compatible completion request as far as routing and limits need it. */
 import * as v from 'valibot'
-import { refusal } from '../failures'
+import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
@@ -34,12 +34,12 @@
 
 export function parseCompletion (body: Buffer, defaultMaxTokens: number): Result<CompletionRequest, Failure> {
   const json = parseJson(body.toString('utf8'))
-  if (json === undefined) return Err(refusal('bad_request', 'The body is not valid JSON.'))
+  if (json === undefined) return Err(createRefusal('bad_request', 'The body is not valid JSON.'))
   const checked = v.safeParse(completionSchema, json)
   if (!checked.success) {
     const issue = checked.issues[0]
     const path = issue.path?.map(item => String(item.key)).join('.') ?? 'body'
-    return Err(refusal('bad_request', `${path}: found ${issue.received}, allowed is ${issue.expected ?? issue.message}.`))
+    return Err(createRefusal('bad_request', `${path}: found ${issue.received}, allowed is ${issue.expected ?? issue.message}.`))
   }
   const maxTokens = checked.output.max_completion_tokens ?? checked.output.max_tokens ?? defaultMaxTokens
   const promptTokens = Math.ceil(body.length / BYTES_PER_TOKEN)
--- a/packages/magnoliabay/src/node/entry/completions.ts
+++ b/packages/magnoliabay/src/node/entry/completions.ts
@@ -1,25 +1,25 @@
 /** `POST /v1/chat/completions` and `/v1/completions`. */
 import type { ServerResponse } from 'node:http'
 import type { Allowance } from '../allowance'
-import type { ConfigHolder } from '../config'
-import { refusal } from '../failures'
+import type { ConfigProvider } from '../config'
+import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
-import type { Outcome } from '../outcomes'
-import { CLASS_HEADER, workClassOf } from '../queue'
-import type { Queue } from '../queue'
-import { mayCall } from './access'
+import type { RequestOutcome } from '../outcomes'
+import { WORK_CLASS_HEADER, parseWorkClass } from '../queue'
+import type { RequestQueue } from '../queue'
+import { mayCall } from './authorization'
 import { createAttempts } from './attempts'
 import type { AttemptOptions } from './attempts'
 import { parseCompletion } from './completionRequest'
 import type { CompletionRequest } from './completionRequest'
-import { concludeHandler } from './conclude'
-import type { ConcludeOptions } from './conclude'
+import { concludeHandler } from './requestOutcome'
+import type { ConcludeOptions } from './requestOutcome'
 import type { EntryRequest, Handler } from './types'
 
 export interface CompletionOptions extends ConcludeOptions, AttemptOptions {
-  cfg: ConfigHolder
+  cfg: ConfigProvider
   allowance: Allowance
-  queue: Queue
+  queue: RequestQueue
   defaultMaxTokens: number
 }
 
@@ -28,24 +28,24 @@
   const attempts = createAttempts(options)
 
   const check = (req: EntryRequest, completion: CompletionRequest): Failure | undefined => {
-    if (cfg.model(completion.model) === undefined && cfg.adapter(completion.model) === undefined) return refusal('unknown_model', `No model is called ${completion.model}. GET /v1/models lists those there are.`)
-    if (!mayCall(cfg, req.caller.team, completion.model)) return refusal('forbidden_model', `Team ${req.caller.team} may not call ${completion.model}.`)
+    if (cfg.model(completion.model) === undefined && cfg.adapter(completion.model) === undefined) return createRefusal('unknown_model', `No model is called ${completion.model}. GET /v1/models lists those there are.`)
+    if (!mayCall(cfg, req.caller.team, completion.model)) return createRefusal('forbidden_model', `Team ${req.caller.team} may not call ${completion.model}.`)
     return undefined
   }
-  const run = async (req: EntryRequest, res: ServerResponse): Promise<Outcome> => {
-    const { conclude } = req.trail
+  const run = async (req: EntryRequest, res: ServerResponse): Promise<RequestOutcome> => {
+    const { conclude } = req.execution
     const parsed = parseCompletion(req.rawBody, options.defaultMaxTokens)
     if (parsed.err) return conclude(parsed.val)
-    req.seen.model = parsed.val.model
+    req.observation.model = parsed.val.model
     const refused = check(req, parsed.val)
     if (refused !== undefined) return conclude(refused)
     const reservation = await allowance.reserve(req.caller.team, parsed.val.reservedTokens)
     if (reservation.err) return conclude(reservation.val)
-    const turn = await queue.enter({
+    const turn = await queue.acquire({
       team: req.caller.team,
       model: parsed.val.model,
-      workClass: workClassOf(req.headers[CLASS_HEADER]),
-      tokens: parsed.val.reservedTokens,
+      workClass: parseWorkClass(req.headers[WORK_CLASS_HEADER]),
+      reservedTokens: parsed.val.reservedTokens,
       deadlineMs: req.deadline.atMs,
       signal: req.deadline.signal
     })
@@ -60,7 +60,7 @@
       return outcome
     } finally {
       // Also after a fault of ours: else the turn and the reservation would be held for good.
-      turn.val.done(usedTokens)
+      turn.val.release(usedTokens)
       allowance.settle(reservation.val, usedTokens)
     }
   }
@@ -68,7 +68,7 @@
 }
 
 /** Where the engine doesn't say, everything that was reserved counts as used: a team never gains by a fault. */
-function usedTokensOf (outcome: Outcome, reservedTokens: number): number {
+function usedTokensOf (outcome: RequestOutcome, reservedTokens: number): number {
   if (outcome.kind === 'refused-not-run') return 0
   return outcome.kind === 'answered' ? outcome.usedTokens ?? reservedTokens : reservedTokens
 }
--- a/packages/magnoliabay/src/node/entry/index.ts
+++ b/packages/magnoliabay/src/node/entry/index.ts
@@ -3,24 +3,24 @@
 import polka from 'polka'
 import type { Keyring } from '../admission'
 import type { Allowance } from '../allowance'
-import type { Directory, EngineClient, Pools } from '../backend'
-import { createDepartures } from '../backend/departures'
+import type { BackendDirectory, EngineClient, ConnectionPools } from '../backend'
+import { createLeavingBackends } from '../backend/leavingBackends'
 import type { Clock } from '../clock'
-import { TIMED_OUT, withDeadline } from '../clock'
-import type { ConfigHolder, ResolvedSettings } from '../config'
-import { refusal } from '../failures'
+import { TIMED_OUT, withTimeout } from '../clock'
+import type { ConfigProvider, ResolvedSettings } from '../config'
+import { createRefusal } from '../failures'
 import type { Logger } from '../logger'
 import type { Peers } from '../members'
 import type { Metrics } from '../metrics'
-import type { Once } from '../once'
+import type { IdempotencyClaims } from '../once'
 import { createCrashCheck, createRetryBudget, createSuspects } from '../outcomes'
-import type { Report } from '../report'
-import type { Queue } from '../queue'
-import type { Routing } from '../routing'
+import type { SloTracker } from '../report'
+import type { RequestQueue } from '../queue'
+import type { ReplicaRouter } from '../routing'
 import { createHttpServer } from '../tls'
 import type { Certificates } from '../tls'
 import { messageOf, parseHostPort } from '../utils'
-import { answerBadInput } from './badInput'
+import { handleClientErrors } from './clientErrors'
 import { completionHandler } from './completions'
 import { authenticateMiddleware } from './middleware/authenticate'
 import { bodyMiddleware } from './middleware/body'
@@ -40,28 +40,28 @@
 /** After this much silence the system probes whether a caller is still there, milliseconds. */
 const PROBE_DELAY_MS = 15_000
 
-export interface EntryOptions {
+export interface EntryServerOptions {
   settings: ResolvedSettings
-  cfg: ConfigHolder
+  cfg: ConfigProvider
   keyring: Keyring
   allowance: Allowance
-  queue: Queue
-  routing: Routing
-  directory: Directory
-  once: Once
-  pools: Pools
-  engines: EngineClient
+  queue: RequestQueue
+  routing: ReplicaRouter
+  directory: BackendDirectory
+  idempotencyClaims: IdempotencyClaims
+  connectionPools: ConnectionPools
+  engineClient: EngineClient
   peers: Peers
   clock: Clock
   logger: Logger
   metrics: Metrics
   /** @default plain text */
   certificates?: Certificates
-  report: Pick<Report, 'observe'>
+  report: Pick<SloTracker, 'recordRequest'>
   isReady: () => boolean
 }
 
-export interface Entry {
+export interface EntryServer {
   start (): Promise<void>
   /**
    * Stops taking connections and resolves when every open request has ended; those still open after
@@ -70,33 +70,33 @@
   close (drainMs: number): Promise<void>
 }
 
-export function createEntry (options: EntryOptions): Entry {
+export function createEntryServer (options: EntryServerOptions): EntryServer {
   const { settings, metrics } = options
   const { limits } = settings
   const server = createHttpServer({ keepAlive: true, keepAliveInitialDelay: PROBE_DELAY_MS, keepAliveTimeout: KEEP_ALIVE_MS }, options.certificates)
-  answerBadInput(server, options.clock)
+  handleClientErrors(server, options.clock)
   const app = polka({
     server,
     onError: (err, req, res) => {
-      const { requestId, trail } = req as unknown as EntryRequest
+      const { requestId, execution: trail } = req as unknown as EntryRequest
       options.logger.error('entry-fault', { reason: messageOf(err) })
-      const outcome = trail.conclude(refusal('internal', 'Something went wrong here.'))
+      const outcome = trail.conclude(createRefusal('internal', 'Something went wrong here.'))
       if (outcome.kind !== 'answered') sendFailure(res as ServerResponse, outcome.failure, requestId)
     },
     onNoMatch: (req, res) => {
       const allowed = routes.filter(route => servesPath(route.path, req.path)).map(route => route.method)
       const failure = allowed.length === 0
-        ? refusal('not_found', `Nothing is served at ${req.path}.`)
-        : refusal('method_not_allowed', `${req.path} takes ${allowed.join(', ')}, not ${req.method}.`)
+        ? createRefusal('not_found', `Nothing is served at ${req.path}.`)
+        : createRefusal('method_not_allowed', `${req.path} takes ${allowed.join(', ')}, not ${req.method}.`)
       if (allowed.length > 0) res.setHeader('allow', allowed.join(', '))
       sendFailure(res, failure, (req as unknown as EntryRequest).requestId)
     }
   })
-  const { clock, peers, pools, engines } = options
+  const { clock, peers, connectionPools, engineClient } = options
   const open = createOpenRequests(limits)
-  const departures = createDepartures({ peers, clock })
-  const suspects = createSuspects({ peers, clock, logger: options.logger, hasDied: createCrashCheck(engines) })
-  const shared = { ...options, retryBudget: createRetryBudget(), suspects, departures, relay: { pools, engines, clock, limits } }
+  const departures = createLeavingBackends({ peers, clock })
+  const suspects = createSuspects({ peers, clock, logger: options.logger, hasCrashed: createCrashCheck(engineClient) })
+  const shared = { ...options, retryBudget: createRetryBudget(), suspects, departures, relay: { connectionPools, engineClient, clock, limits } }
   const callers = [authenticateMiddleware(options.keyring)]
   const calls = [
     open.admit,
@@ -125,11 +125,11 @@
     close: async drainMs => {
       const closed = new Promise<void>(resolve => { server.close(() => resolve()) })
       server.closeIdleConnections()
-      if (await withDeadline(clock, drainMs, closed) !== TIMED_OUT) return
+      if (await withTimeout(clock, drainMs, closed) !== TIMED_OUT) return
       // A caller that never reads, or an engine that never ends, would keep the process for good.
       options.logger.warn('requests-ended-by-shutdown', { open: open.count() })
       open.abortAll('shutting-down')
-      if (await withDeadline(clock, LAST_WORDS_MS, closed) === TIMED_OUT) server.closeAllConnections()
+      if (await withTimeout(clock, LAST_WORDS_MS, closed) === TIMED_OUT) server.closeAllConnections()
       await closed
     }
   }
--- a/packages/magnoliabay/src/node/entry/middleware/body.ts
+++ b/packages/magnoliabay/src/node/entry/middleware/body.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from 'node:http'
 import type { Clock } from '../../clock'
-import { TIMED_OUT, withDeadline } from '../../clock'
-import { refusal } from '../../failures'
+import { TIMED_OUT, withTimeout } from '../../clock'
+import { createRefusal } from '../../failures'
 import type { Failure } from '../../failures'
 import type { OpenRequests } from '../openRequests'
 import { sendFailure } from '../respond'
@@ -24,12 +24,12 @@
 /** Reads the whole body, within a size and a time, and within what all open requests may hold together. */
 export function bodyMiddleware (clock: Clock, limits: BodyLimits, room: BodyRoom = UNSHARED): Handler {
   const failures: Record<Exclude<Problem, 'broken-off'>, Failure> = {
-    'too-large': refusal('body_too_large', `A body may have ${limits.maxBodyBytes} bytes at most.`),
-    'no-room': refusal('overloaded', 'This instance holds as many bodies as it can.', RETRY_AFTER_SECONDS),
-    late: refusal('body_timeout', `The body did not arrive within ${limits.bodyTimeoutMs} ms.`)
+    'too-large': createRefusal('body_too_large', `A body may have ${limits.maxBodyBytes} bytes at most.`),
+    'no-room': createRefusal('overloaded', 'This instance holds as many bodies as it can.', RETRY_AFTER_SECONDS),
+    late: createRefusal('body_timeout', `The body did not arrive within ${limits.bodyTimeoutMs} ms.`)
   }
   return async function readBody (req, res, next) {
-    const read = await withDeadline(clock, limits.bodyTimeoutMs, readWithin(req, res, limits.maxBodyBytes, room))
+    const read = await withTimeout(clock, limits.bodyTimeoutMs, readWithin(req, res, limits.maxBodyBytes, room))
     const body = read === TIMED_OUT ? 'late' : read
     if (body === 'broken-off') return
     if (typeof body === 'string') {
--- a/packages/magnoliabay/src/node/entry/middleware/requestId.ts
+++ b/packages/magnoliabay/src/node/entry/middleware/requestId.ts
@@ -1,4 +1,4 @@
-import { createTrail } from '../../outcomes'
+import { createExecutionTracker } from '../../outcomes'
 import { createId } from '../../utils'
 import type { Handler } from '../types'
 
@@ -6,7 +6,7 @@
 export function requestIdMiddleware (): Handler {
   return function assignRequestId (req, _res, next) {
     req.requestId = createId('req')
-    req.trail = createTrail()
+    req.execution = createExecutionTracker()
     next()
   }
 }
--- a/packages/magnoliabay/src/node/entry/openRequests.ts
+++ b/packages/magnoliabay/src/node/entry/openRequests.ts
@@ -3,7 +3,7 @@
  * refused early, and known, so that a shutdown can end those that outlast it.
  */
 import type { ServerResponse } from 'node:http'
-import { refusal } from '../failures'
+import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import type { Handler } from './types'
 import { sendFailure } from './respond'
@@ -26,7 +26,7 @@
 }
 
 const RETRY_AFTER_SECONDS = 1
-const OVERLOADED: Failure = refusal('overloaded', 'This instance has as many requests open as it can hold.', RETRY_AFTER_SECONDS)
+const OVERLOADED: Failure = createRefusal('overloaded', 'This instance has as many requests open as it can hold.', RETRY_AFTER_SECONDS)
 
 export function createOpenRequests (options: OpenRequestsOptions): OpenRequests {
   const deadlines = new Map<ServerResponse, AbortableDeadline>()
--- a/packages/magnoliabay/src/node/entry/queries.ts
+++ b/packages/magnoliabay/src/node/entry/queries.ts
@@ -1,18 +1,18 @@
 /** What callers may ask: which models there are, and which entry instance to use. */
 import type { Allowance } from '../allowance'
-import type { ConfigHolder } from '../config'
+import type { ConfigProvider } from '../config'
 import type { Peers } from '../members'
 import type { MemberRecord } from '../members'
-import { mayCall } from './access'
+import { mayCall } from './authorization'
 import { sendJson } from './respond'
 import type { Handler } from './types'
 
 const MS_PER_SECOND = 1000
 const LOCATE_ADDRESSES = 3
 
-export function modelsHandler (cfg: ConfigHolder): Handler {
+export function modelsHandler (cfg: ConfigProvider): Handler {
   return function listModels (req, res) {
-    const { fleet } = cfg.inForce()
+    const { fleet } = cfg.active()
     const data = [...fleet.model, ...fleet.adapter]
       .filter(model => mayCall(cfg, req.caller.team, model.name))
       .map(model => ({ id: model.name, object: 'model', created: 0, owned_by: 'magnoliabay' }))
@@ -27,7 +27,7 @@
 export function locateHandler (peers: Peers, allowance: Allowance, keepMs: number): Handler {
   return function locate (req, res) {
     const byId = new Map(peers.members().filter(member => !member.leaving).map(member => [member.id, member]))
-    const ranked = allowance.homes(req.caller.team).flatMap(id => byId.get(id) ?? [])
+    const ranked = allowance.homeMembers(req.caller.team).flatMap(id => byId.get(id) ?? [])
     const addresses = spreadOverDomains(ranked)
       .slice(0, LOCATE_ADDRESSES)
       .map(member => ({ address: member.entryAddress, failure_domain: member.failureDomain }))
--- a/packages/magnoliabay/src/node/entry/conclude.ts
+++ b/packages/magnoliabay/src/node/entry/requestOutcome.ts
@@ -4,12 +4,12 @@
  */
 import type { ServerResponse } from 'node:http'
 import type { Clock } from '../clock'
-import { refusal } from '../failures'
+import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import type { LogFields, Logger } from '../logger'
 import type { Metrics } from '../metrics'
-import type { Outcome } from '../outcomes'
-import type { Report } from '../report'
+import type { RequestOutcome } from '../outcomes'
+import type { SloTracker } from '../report'
 import { messageOf } from '../utils'
 import type { AbortReason } from './deadline'
 import { sendFailure } from './respond'
@@ -19,55 +19,55 @@
   clock: Clock
   logger: Logger
   metrics: Metrics
-  report: Pick<Report, 'observe'>
+  report: Pick<SloTracker, 'recordRequest'>
 }
 
 /** Carries a request out. A returned `answered` means that the handler has sent the whole answer. */
-export type RequestRunner = (req: EntryRequest, res: ServerResponse) => Promise<Outcome>
+export type RequestRunner = (req: EntryRequest, res: ServerResponse) => Promise<RequestOutcome>
 
 /** What an aborted request is told, whatever its handler ran into because of it. */
 const ABORTED: Record<AbortReason, Failure> = {
-  deadline: refusal('deadline_exceeded', 'The deadline of the request passed.', 1),
-  'caller-gone': refusal('caller_gone', 'The caller closed its connection.'),
-  'key-withdrawn': refusal('key_withdrawn', 'The key was withdrawn while the request was open.'),
-  'shutting-down': refusal('shutting_down', 'This instance ended before the request did.', 1)
+  deadline: createRefusal('deadline_exceeded', 'The deadline of the request passed.', 1),
+  'caller-gone': createRefusal('caller_gone', 'The caller closed its connection.'),
+  'key-withdrawn': createRefusal('key_withdrawn', 'The key was withdrawn while the request was open.'),
+  'shutting-down': createRefusal('shutting_down', 'This instance ended before the request did.', 1)
 }
 
 /** Makes a handler of `run` that always answers, once. `describe` adds fields to the log event. */
 export function concludeHandler (options: ConcludeOptions, run: RequestRunner, describe: (req: EntryRequest) => LogFields = () => ({})): Handler {
   const { clock, logger, metrics } = options
 
-  const runSafely = async (req: EntryRequest, res: ServerResponse): Promise<Outcome> => {
+  const runSafely = async (req: EntryRequest, res: ServerResponse): Promise<RequestOutcome> => {
     try {
       return await run(req, res)
     } catch (err) {
       // A fault of ours must not leave the caller waiting, nor claim *not run* of a request that was sent.
       logger.error('request-fault', { request: req.requestId, reason: messageOf(err) })
-      return req.trail.conclude(refusal('internal', 'Something went wrong here.'))
+      return req.execution.conclude(createRefusal('internal', 'Something went wrong here.'))
     }
   }
-  const asTold = (req: EntryRequest, outcome: Outcome): Outcome => {
+  const asTold = (req: EntryRequest, outcome: RequestOutcome): RequestOutcome => {
     const reason = req.deadline.reason()
     if (outcome.kind === 'answered' || reason === undefined) return outcome
-    return req.trail.conclude(ABORTED[reason])
+    return req.execution.conclude(ABORTED[reason])
   }
   return async function conclude (req, res) {
     const startedMs = clock.monotonic()
-    req.seen = { startedMs, wasCold: false }
+    req.observation = { startedMs, wasCold: false }
     metrics.openRequests.inc()
     const outcome = asTold(req, await runSafely(req, res))
     metrics.openRequests.dec()
     const code = outcome.kind === 'answered' ? 'ok' : outcome.failure.code
     if (outcome.kind !== 'answered') sendFailure(res, outcome.failure, req.requestId)
-    options.report.observe({ ...req.seen, team: req.caller.team, outcome: outcome.kind, code })
+    options.report.recordRequest({ ...req.observation, team: req.caller.team, outcome: outcome.kind, code })
     metrics.requests.inc({ outcome: outcome.kind, code, team: req.caller.team })
     logger.info('request-ended', {
       request: req.requestId,
       team: req.caller.team,
-      model: req.seen.model,
+      model: req.observation.model,
       outcome: outcome.kind,
       code,
-      cold: req.seen.wasCold || undefined,
+      cold: req.observation.wasCold || undefined,
       reason: outcome.kind === 'answered' ? undefined : outcome.failure.message,
       tookMs: Math.round(clock.monotonic() - startedMs),
       ...describe(req)
--- a/packages/magnoliabay/src/node/entry/serviceAttempts.ts
+++ b/packages/magnoliabay/src/node/entry/serviceAttempts.ts
@@ -1,12 +1,12 @@
 /** The attempts that one call of a plain service is allowed. */
 import type { IncomingHttpHeaders } from 'node:http'
-import type { Directory, Pools } from '../backend'
-import type { HttpMethod } from '../backend/exchange'
-import { callPlainService } from '../backend/serviceCall'
-import type { ServiceAnswer, ServiceCallResult } from '../backend/serviceCall'
-import type { Departures } from '../backend/departures'
+import type { BackendDirectory, ConnectionPools } from '../backend'
+import type { HttpMethod } from '../backend/httpExchange'
+import { callService } from '../backend/serviceCall'
+import type { ServiceResponse, ServiceCallResult } from '../backend/serviceCall'
+import type { LeavingBackends } from '../backend/leavingBackends'
 import type { Clock } from '../clock'
-import { mayHaveRun, refusal } from '../failures'
+import { createIndeterminateFailure, createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import type { Logger } from '../logger'
 import type { RetryBudget } from '../outcomes'
@@ -19,9 +19,9 @@
 const FORWARDED_HEADERS: readonly string[] = ['content-type', 'accept', 'idempotency-key']
 
 export interface ServiceAttemptOptions {
-  directory: Directory
-  departures: Departures
-  pools: Pools
+  directory: BackendDirectory
+  departures: LeavingBackends
+  connectionPools: ConnectionPools
   clock: Clock
   logger: Logger
   retryBudget: RetryBudget
@@ -36,7 +36,7 @@
 }
 
 export interface ServiceAttempts {
-  run (req: EntryRequest, target: ServiceTarget, signal: AbortSignal): Promise<Result<ServiceAnswer, Failure>>
+  run (req: EntryRequest, target: ServiceTarget, signal: AbortSignal): Promise<Result<ServiceResponse, Failure>>
 }
 
 export function createServiceAttempts (options: ServiceAttemptOptions): ServiceAttempts {
@@ -54,21 +54,21 @@
     return candidates[turn % Math.max(1, candidates.length)]
   }
   const callAt = async (server: ListedInstance, req: EntryRequest, target: ServiceTarget, signal: AbortSignal): Promise<ServiceCallResult> => {
-    req.trail.note('send')
-    const result = await callPlainService(options, {
+    req.execution.record('send')
+    const result = await callService(options, {
       address: server.address,
       method: req.method as HttpMethod,
       path: target.path,
       headers: forwardedHeaders(req.headers, req.caller.team),
       body: req.rawBody,
       requestId: req.requestId,
-      answerMs: options.serviceAnswerMs,
+      responseTimeoutMs: options.serviceAnswerMs,
       isIdempotent: target.isIdempotent,
       signal
     })
     const isDisclaimed = result.kind === 'not-run' || (result.kind === 'stopped' && !result.isSent)
-    req.trail.note(isDisclaimed ? 'disclaim' : 'lose')
-    if (result.kind === 'not-run' && result.isLeaving) departures.note(server.address)
+    req.execution.record(isDisclaimed ? 'disclaim' : 'lose')
+    if (result.kind === 'not-run' && result.isLeaving) departures.markLeaving(server.address)
     return result
   }
   /** What certainly didn't run may go to another server; what may have run only if it may be repeated. */
@@ -78,12 +78,12 @@
   return {
     run: async (req, target, signal) => {
       const tried: ListedInstance[] = []
-      let last: Failure = refusal('no_capacity', `No server of ${target.name} is live.`, 1)
-      retryBudget.noteFirstAttempt()
+      let last: Failure = createRefusal('no_capacity', `No server of ${target.name} is live.`, 1)
+      retryBudget.recordFirstAttempt()
       while (tried.length < MAX_ATTEMPTS && !signal.aborted) {
         const server = choose(target.name, tried)
         if (server === undefined) break
-        if (tried.length > 0 && !retryBudget.take()) {
+        if (tried.length > 0 && !retryBudget.tryTake()) {
           logger.info('retry-withheld', { request: req.requestId, reason: 'retry budget spent' })
           break
         }
@@ -100,11 +100,11 @@
 }
 
 function failureOf (result: Exclude<ServiceCallResult, { kind: 'answered' }>): Failure {
-  if (result.kind === 'not-run') return refusal('backend_failed', result.message, 1)
-  if (result.kind === 'lost') return mayHaveRun('may_have_run', `The service did not answer in full: ${result.message}`)
+  if (result.kind === 'not-run') return createRefusal('backend_failed', result.message, 1)
+  if (result.kind === 'lost') return createIndeterminateFailure('may_have_run', `The service did not answer in full: ${result.message}`)
   return result.isSent
-    ? mayHaveRun('may_have_run', 'The call was given up before its answer came.')
-    : refusal('deadline_exceeded', 'The call was given up before it was sent.', 1)
+    ? createIndeterminateFailure('may_have_run', 'The call was given up before its answer came.')
+    : createRefusal('deadline_exceeded', 'The call was given up before it was sent.', 1)
 }
 
 /** Only what a service needs: the caller's key, cookies and connection headers stay here. */
--- a/packages/magnoliabay/src/node/entry/services.ts
+++ b/packages/magnoliabay/src/node/entry/services.ts
@@ -1,17 +1,17 @@
 /** `/v1/services/<name>/…`: calls of plain services, some of which run at most once. */
 import type { ServerResponse } from 'node:http'
-import type { ServiceAnswer } from '../backend/serviceCall'
-import type { ConfigHolder, ServiceConfig } from '../config'
-import { mayHaveRun, refusal } from '../failures'
+import type { ServiceResponse } from '../backend/serviceCall'
+import type { ConfigProvider, ServiceConfig } from '../config'
+import { createIndeterminateFailure, createRefusal } from '../failures'
 import type { Failure } from '../failures'
-import type { Claim, Once } from '../once'
-import type { Outcome } from '../outcomes'
+import type { IdempotencyClaim, IdempotencyClaims } from '../once'
+import type { RequestOutcome } from '../outcomes'
 import { REQUEST_ID_HEADER } from '../backend/protocol'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { mayCall } from './access'
-import { concludeHandler } from './conclude'
-import type { ConcludeOptions } from './conclude'
+import { mayCall } from './authorization'
+import { concludeHandler } from './requestOutcome'
+import type { ConcludeOptions } from './requestOutcome'
 import { createServiceAttempts } from './serviceAttempts'
 import type { ServiceAttemptOptions, ServiceTarget } from './serviceAttempts'
 import type { EntryRequest, Handler } from './types'
@@ -22,8 +22,8 @@
 const NEVER = new AbortController().signal
 
 export interface ServiceOptions extends ConcludeOptions, ServiceAttemptOptions {
-  cfg: ConfigHolder
-  once: Once
+  cfg: ConfigProvider
+  idempotencyClaims: IdempotencyClaims
 }
 
 interface ServiceCall extends ServiceTarget {
@@ -31,20 +31,20 @@
 }
 
 export function serviceHandler (options: ServiceOptions): Handler {
-  const { cfg, once } = options
+  const { cfg, idempotencyClaims: once } = options
   const attempts = createServiceAttempts(options)
 
   const resolve = (req: EntryRequest): Result<ServiceCall, Failure> => {
     const match = SERVICE_PATH.exec(req.path)
     const name = match?.[1] ?? ''
     const service = cfg.service(name)
-    if (service === undefined) return Err(refusal('unknown_service', `No service is called ${name}.`))
-    if (!mayCall(cfg, req.caller.team, name)) return Err(refusal('forbidden_model', `Team ${req.caller.team} may not call ${name}.`))
+    if (service === undefined) return Err(createRefusal('unknown_service', `No service is called ${name}.`))
+    if (!mayCall(cfg, req.caller.team, name)) return Err(createRefusal('forbidden_model', `Team ${req.caller.team} may not call ${name}.`))
     const isIdempotent = !service.nonIdempotent.some(method => method === req.method)
     const path = `${match?.[2] ?? '/'}${req.search ?? ''}`
     return Ok({ service, name, path, isIdempotent })
   }
-  const runOnce = async (req: EntryRequest, call: ServiceCall, idempotencyKey: string): Promise<Result<ServiceAnswer, Failure>> => {
+  const runOnce = async (req: EntryRequest, call: ServiceCall, idempotencyKey: string): Promise<Result<ServiceResponse, Failure>> => {
     const claimed = await once.claim({
       team: req.caller.team,
       service: call.name,
@@ -58,25 +58,25 @@
     return await Promise.race([sendClaimed(req, call, claimed.val.claim), untilGivenUp(req.deadline.signal)])
   }
   /** Goes on to the end though the caller has gone: it will ask again, and then its answer is there. */
-  const sendClaimed = async (req: EntryRequest, call: ServiceCall, claim: Claim): Promise<Result<ServiceAnswer, Failure>> => {
+  const sendClaimed = async (req: EntryRequest, call: ServiceCall, claim: IdempotencyClaim): Promise<Result<ServiceResponse, Failure>> => {
     const answer = await attempts.run(req, call, NEVER)
     if (answer.ok) once.storeAnswer(claim, answer.val)
-    else if (req.trail.state() === 'untouched') await once.release(claim)
+    else if (req.execution.state() === 'untouched') await once.release(claim)
     return answer
   }
-  const run = async (req: EntryRequest, res: ServerResponse): Promise<Outcome> => {
-    const { conclude } = req.trail
+  const run = async (req: EntryRequest, res: ServerResponse): Promise<RequestOutcome> => {
+    const { conclude } = req.execution
     const call = resolve(req)
     if (call.err) return conclude(call.val)
     const idempotencyKey = req.headers[IDEMPOTENCY_HEADER]
     if (typeof idempotencyKey === 'string' && idempotencyKey.length > MAX_IDEMPOTENCY_KEY_LENGTH) {
-      return conclude(refusal('bad_request', `An Idempotency-Key may have ${MAX_IDEMPOTENCY_KEY_LENGTH} characters at most.`))
+      return conclude(createRefusal('bad_request', `An Idempotency-Key may have ${MAX_IDEMPOTENCY_KEY_LENGTH} characters at most.`))
     }
     const answer = !call.val.isIdempotent && typeof idempotencyKey === 'string'
       ? await runOnce(req, call.val, idempotencyKey)
       : await attempts.run(req, call.val, req.deadline.signal)
     if (answer.err) return conclude(answer.val)
-    if (res.destroyed) return conclude(mayHaveRun('caller_gone', 'The caller closed its connection.'))
+    if (res.destroyed) return conclude(createIndeterminateFailure('caller_gone', 'The caller closed its connection.'))
     sendAnswer(res, answer.val, req.requestId)
     return { kind: 'answered' }
   }
@@ -85,13 +85,13 @@
 
 function untilGivenUp (signal: AbortSignal): Promise<Result<never, Failure>> {
   return new Promise(resolve => {
-    const giveUp = (): void => resolve(Err(mayHaveRun('idempotency_in_progress', 'The request is being carried out. Ask again with the same key for its answer.')))
+    const giveUp = (): void => resolve(Err(createIndeterminateFailure('idempotency_in_progress', 'The request is being carried out. Ask again with the same key for its answer.')))
     if (signal.aborted) return giveUp()
     signal.addEventListener('abort', giveUp, { once: true })
   })
 }
 
-function sendAnswer (res: ServerResponse, answer: ServiceAnswer, requestId: string): void {
+function sendAnswer (res: ServerResponse, answer: ServiceResponse, requestId: string): void {
   res.writeHead(answer.status, {
     'content-type': answer.contentType,
     'content-length': answer.body.length,
--- a/packages/magnoliabay/src/node/entry/types.ts
+++ b/packages/magnoliabay/src/node/entry/types.ts
@@ -1,10 +1,10 @@
 /** What the entry's middleware adds to a request. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Caller } from '../admission'
-import type { Trail } from '../outcomes'
+import type { ExecutionTracker } from '../outcomes'
 import type { AbortableDeadline } from './deadline'
 
-export interface RequestSeen {
+export interface RequestObservation {
   /** Monotonic, milliseconds. */
   startedMs: number
   model?: string
@@ -20,9 +20,9 @@
   rawBody: Buffer
   deadline: AbortableDeadline
   /** What became of the request so far. */
-  trail: Trail
+  execution: ExecutionTracker
   /** What the report and `explain` are told when the request ends. */
-  seen: RequestSeen
+  observation: RequestObservation
   /** Set by polka. */
   params: Record<string, string>
   path: string
--- a/packages/magnoliabay/src/node/failures.ts
+++ b/packages/magnoliabay/src/node/failures.ts
@@ -74,12 +74,12 @@
 }
 
 /** A refusal before anything was sent to a backend server. */
-export function refusal (code: FailureCode, message: string, retryAfterSeconds?: number): Failure {
+export function createRefusal (code: FailureCode, message: string, retryAfterSeconds?: number): Failure {
   return { code, message, notRun: true, retryAfterSeconds }
 }
 
 /** A failure after the request may have reached a backend server. */
-export function mayHaveRun (code: FailureCode, message: string): Failure {
+export function createIndeterminateFailure (code: FailureCode, message: string): Failure {
   return { code, message, notRun: false }
 }
 
--- a/packages/magnoliabay/src/node/instance.ts
+++ b/packages/magnoliabay/src/node/instance.ts
@@ -4,31 +4,31 @@
 import { setMaxListeners } from 'node:events'
 import { createKeyring } from './admission'
 import { createAllowance } from './allowance'
-import { createDirectory, createEngineClient, createPools } from './backend'
+import { createBackendDirectory, createEngineClient, createConnectionPools } from './backend'
 import { createCells } from './cells'
 import type { Clock } from './clock'
-import { createAcceptor, createConfigHolder } from './config'
+import { createConfigCommitter, createConfigProvider } from './config'
 import type { Manifest, ResolvedSettings } from './config'
-import { createEntry } from './entry'
+import { createEntryServer } from './entry'
 import type { Logger } from './logger'
-import { createMembership, createPeerNetwork, createProofKeeper } from './members'
+import { createMembership, createPeerNetwork, createTerminationDetector } from './members'
 import type { MemberRecord } from './members'
-import { greetSeeds } from './members/seeds'
+import { contactSeeds } from './members/seeds'
 import { createMetrics } from './metrics'
-import { createGroupWriter, createOnce, createRetentionLease, createSharedWriter } from './once'
-import { createOperators } from './operators'
+import { createBatchWriter, createIdempotencyClaims, createRetentionLease, createForwardingWriter } from './once'
+import { createOperatorServer } from './operators'
 import { auditWrite } from './operators/audit'
 import { createOperatorCommands } from './operators/commands'
 import { createDecisionLog } from './operators/decisionLog'
-import { createDrain } from './operators/drain'
-import { createExplain } from './operators/explain'
+import { createDrainer } from './operators/drain'
+import { createExplainer } from './operators/explain'
 import { createOperatorQueries } from './operators/queries'
 import { createBudgetedStore } from './store'
-import { createStatus, createStoreWatch } from './operators/status'
+import { createStatus, createStoreHealthMonitor } from './operators/status'
 import type { InstanceList, PutOperation, Store, StoreCallReport } from './store'
-import { createReport } from './report'
-import { createCapacity, createQueue } from './queue'
-import { createRouting } from './routing'
+import { createSloTracker } from './report'
+import { createEngineCapacity, createRequestQueue } from './queue'
+import { createReplicaRouter } from './routing'
 import { createShutdown } from './shutdown'
 import { createInstanceTls } from './tls'
 import { createId } from './utils'
@@ -56,7 +56,7 @@
   const { settings, clock } = options
   const { id, region, failureDomain, peerAddress, entryAddress, operatorAddress } = settings.instance
   const decisions = createDecisionLog({ instance: id, clock })
-  const logger = decisions.wrap(options.logger.with({ instance: id }))
+  const logger = decisions.wrapLogger(options.logger.with({ instance: id }))
   const self: MemberRecord = {
     id,
     incarnation: createId(id),
@@ -74,36 +74,36 @@
   setMaxListeners(0, stop.signal)
   const metrics = createMetrics()
   const { callsPerSecond, burstCalls } = settings.platform
-  const storeWatch = createStoreWatch(clock, logger)
+  const storeWatch = createStoreHealthMonitor(clock, logger)
   const onCall = (call: StoreCallReport): void => {
-    storeWatch.note(call)
+    storeWatch.recordCall(call)
     metrics.storeCalls.inc({ priority: call.priority, outcome: call.outcome })
   }
   const store = createBudgetedStore(options.store, { callsPerSecond: () => Math.min(callsPerSecond, FLEET_CALLS_PER_SECOND / fleetSize()), burstCalls, clock, onCall })
   const fleetSize = (): number => peers.members().length
   const tls = createInstanceTls({ settings, clock, logger })
-  const pools = createPools(null)
+  const pools = createConnectionPools(null)
   const engines = createEngineClient()
-  const peers = createPeerNetwork({ self, transport: tls.transport, clock, logger, onGoodbye: member => proofs.noteGoodbye(member) })
-  const proofs = createProofKeeper({ peers, clock, logger })
+  const peers = createPeerNetwork({ self, transport: tls.peerTransport, clock, logger, onGoodbye: member => proofs.recordGoodbye(member) })
+  const proofs = createTerminationDetector({ peers, clock, logger })
   const membership = createMembership({ store, network: peers, clock, logger })
-  const cfg = createConfigHolder({ store, peers, site: settings.instance.site, clock, logger })
-  cfg.onChanged(() => cfg.inForce().documents.forEach(({ document, version }) => metrics.configVersion.set({ document }, version)))
+  const cfg = createConfigProvider({ store, peers, site: settings.instance.site, clock, logger })
+  cfg.onChanged(() => cfg.active().documents.forEach(({ document, version }) => metrics.configVersion.set({ document }, version)))
   const keyring = createKeyring({ store, peers, clock, logger })
-  const directory = createDirectory({ list: options.list, peers, clock, logger, onRead: proofs.noteList })
+  const directory = createBackendDirectory({ list: options.list, peers, clock, logger, onRead: proofs.observeInstanceList })
   const allowance = createAllowance({ cfg, peers, store, clock, logger, proofs })
   const lease = createRetentionLease({ store, clock, retentionSeconds: settings.once.retentionSeconds })
-  const writer = createSharedWriter({ peers, local: createGroupWriter({ store, lease, clock }) })
+  const writer = createForwardingWriter({ peers, localWriter: createBatchWriter({ store, lease, clock }) })
   const inProgressMs = settings.limits.deadlineMs + settings.limits.serviceAnswerMs
-  const once = createOnce({ store, writer, holder: self.incarnation, clock, logger, inProgressMs })
+  const once = createIdempotencyClaims({ store, writer, holder: self.incarnation, clock, logger, inProgressTimeoutMs: inProgressMs })
   const cells = createCells({ store, peers, membership, proofs, directory, engines, cfg, clock, logger })
-  const routing = createRouting({ cells, cfg, directory, clock })
-  const queue = createQueue({
-    capacity: createCapacity({
-      enginesOf: model => cells.replicas.of(model).map(replica => replica.engine),
+  const routing = createReplicaRouter({ cells, cfg, directory, clock })
+  const queue = createRequestQueue({
+    capacity: createEngineCapacity({
+      enginesOf: model => cells.replicas.replicasOf(model).map(replica => replica.engine),
       loadOf: cells.loadOf,
       inFlight: routing.inFlight,
-      instances: () => peers.members().filter(member => !member.leaving).length,
+      instanceCount: () => peers.members().filter(member => !member.leaving).length,
       slotsPerEngine: settings.limits.requestsPerEngine
     }),
     weightOf: team => cfg.team(team)?.weight ?? 1,
@@ -111,10 +111,10 @@
     clock,
     logger
   })
-  cells.replicas.onChanged(queue.poke)
-  const isReady = (): boolean => cfg.inForce().version > 0 && membership.leaseId() !== undefined && !self.leaving
-  const report = createReport({ cfg, peers, registry: metrics.registry, clock })
-  const entry = createEntry({ report, certificates: tls.callers, settings, cfg, keyring, allowance, queue, routing, directory, once, pools, engines, peers, clock, logger, metrics, isReady })
+  cells.replicas.onChanged(queue.dispatch)
+  const isReady = (): boolean => cfg.active().version > 0 && membership.leaseId() !== undefined && !self.leaving
+  const report = createSloTracker({ cfg, peers, registry: metrics.registry, clock })
+  const entry = createEntryServer({ report, certificates: tls.callerCertificates, settings, cfg, keyring, allowance, queue, routing, directory, idempotencyClaims: once, connectionPools: pools, engineClient: engines, peers, clock, logger, metrics, isReady })
   const audit = (manifest: Manifest): PutOperation => auditWrite({
     atMs: manifest.acceptedAtMs,
     operator: manifest.operator,
@@ -123,21 +123,21 @@
     detail: `version ${manifest.fromVersion} -> ${manifest.version} ${manifest.note}`.trim(),
     instance: id
   })
-  const acceptor = createAcceptor({ store, peers, holder: cfg, audit, clock, logger })
+  const acceptor = createConfigCommitter({ store, peers, configProvider: cfg, audit, clock, logger })
   const handOver = async (): Promise<void> => {
     report.handOver()
-    await cells.handOver()
+    await cells.resign()
   }
   const leave = async (): Promise<void> => {
     await membership.announceLeaving()
     await handOver()
   }
-  const drain = createDrain({ peers, logger, leave })
+  const drain = createDrainer({ peers, logger, leave })
   const commands = createOperatorCommands({ proofs, store, keyring, cfg, acceptor, drain, peers, clock })
   const queries = createOperatorQueries({ store, cfg, peers, clock })
-  const { explain } = createExplain({ peers, decisions })
+  const { explain } = createExplainer({ peers, decisions })
   const status = createStatus({ peers, cfg, replicas: cells.replicas, store: storeWatch })
-  const operators = createOperators({ settings, certificates: tls.operators, commands, queries, status, explain, report, clock, logger })
+  const operators = createOperatorServer({ settings, certificates: tls.operatorCertificates, commands, queries, status, explain, report, clock, logger })
 
   return {
     member: self,
@@ -148,7 +148,7 @@
       await peers.start()
       membership.start(stop.signal)
       cfg.start(stop.signal)
-      greetSeeds({ network: peers, seeds: settings.instance.seeds, isNeeded: () => cfg.inForce().version === 0, clock }, stop.signal)
+      contactSeeds({ network: peers, seeds: settings.instance.seeds, isNeeded: () => cfg.active().version === 0, clock }, stop.signal)
       keyring.start(stop.signal)
       directory.start(stop.signal)
       cells.start(stop.signal)
@@ -166,7 +166,7 @@
         handOver,
         drain: entry.close,
         finish: async () => {
-          await once.settled()
+          await once.waitForPendingWrites()
           await allowance.handOver()
           await operators.close()
           stop.abort()
--- a/packages/magnoliabay/src/node/logSink.ts
+++ b/packages/magnoliabay/src/node/logSink.ts
@@ -6,7 +6,7 @@
  * out and counted, and the count is written as soon as there is room.
  */
 import { write as writeFile } from 'node:fs'
-import { untilNextPeriod } from './clock'
+import { delayToNextPeriod } from './clock'
 import type { Clock } from './clock'
 import type { LogLevel } from './logger'
 
@@ -81,7 +81,7 @@
   const pumpSoon = (): void => {
     if (isDue) return
     isDue = true
-    clock.schedule(untilNextPeriod(clock, GATHER_MS), () => {
+    clock.schedule(delayToNextPeriod(clock, GATHER_MS), () => {
       isDue = false
       pump()
     })
--- a/packages/magnoliabay/src/node/logTrace.ts
+++ b/packages/magnoliabay/src/node/logTrace.ts
@@ -2,7 +2,7 @@
  * From the id of a request to its cause, over the log lines of any number of processes: its own lines, and those that
  * tell what the deciding process believed at the time.
  */
-import { REASON_MEANINGS } from './serving/reasons'
+import { REFUSAL_REASON_DESCRIPTIONS } from './serving/refusalReasons'
 
 export interface LogEntry {
   /** ISO 8601, as written by the process's time of day. */
@@ -15,13 +15,13 @@
 
 export interface Trace {
   /** Lines that name the request, in order of time. */
-  own: readonly LogEntry[]
+  requestEntries: readonly LogEntry[]
   /** Lines about its model, servers, team and instance shortly before its end. */
-  around: readonly LogEntry[]
+  relatedEntries: readonly LogEntry[]
   /** What the reason of its end means; undefined where it was answered or no line tells. */
   cause: string | undefined
   /** What the logs do not tell, and why. */
-  missing: readonly string[]
+  gaps: readonly string[]
 }
 
 /** Believed things that are older than this at the request's start rarely decide it, milliseconds. */
@@ -74,10 +74,10 @@
   const last = own.at(-1)
   const reason = last?.fields.get('reason')
   return {
-    own,
-    around: own.length === 0 ? [] : entries.filter(entry => isAround(entry, own)),
-    cause: reason === undefined ? undefined : (REASON_MEANINGS as Readonly<Record<string, string>>)[reason],
-    missing: missingOf(entries, own, id)
+    requestEntries: own,
+    relatedEntries: own.length === 0 ? [] : entries.filter(entry => isAround(entry, own)),
+    cause: reason === undefined ? undefined : (REFUSAL_REASON_DESCRIPTIONS as Readonly<Record<string, string>>)[reason],
+    gaps: missingOf(entries, own, id)
   }
 }
 
--- a/packages/magnoliabay/src/node/members/membership.ts
+++ b/packages/magnoliabay/src/node/members/membership.ts
@@ -39,13 +39,13 @@
 
 /** The members' records as an instance that watches the store knows them, for others to follow. */
 export interface MemberList {
-  listed (): readonly MemberRecord[]
+  records (): readonly MemberRecord[]
   /** The same for two instances exactly when both know the same records. */
   digest (): string
   /** Takes over the whole list of a peer. */
-  adopt (list: readonly MemberRecord[]): void
+  replaceAll (list: readonly MemberRecord[]): void
   /** Takes over what changed in a peer's list. */
-  follow (changes: MemberChanges): void
+  applyChanges (changes: MemberChanges): void
   takeChanges (): MemberChanges | undefined
   onChanged (listener: () => void): void
 }
@@ -100,7 +100,7 @@
    * has registered anew. Members whose links stand stay, so that nobody cuts the links that everything runs over.
    */
   const isStillThere = ({ record, sinceMs }: LapsedRecord): boolean => {
-    const evidence = network.evidenceOf(record.id)
+    const evidence = network.linkStateOf(record.id)
     if (evidence !== 'none') return evidence === 'linked'
     return clock.monotonic() - sinceMs < LAPSED_GRACE_MS
   }
@@ -140,17 +140,17 @@
 
   return {
     leaseId: () => leaseId,
-    listed: () => [...records.values()],
+    records: () => [...records.values()],
     digest: () => {
       digest ??= stableHash([...records.values()].map(identityOf).sort().join('\n')).toString(36)
       return digest
     },
-    adopt: list => {
+    replaceAll: list => {
       dropMissing(new Set(list.map(record => record.id)))
       list.forEach(takeRecord)
       apply()
     },
-    follow: ({ put, gone }) => {
+    applyChanges: ({ put, gone }) => {
       gone.forEach(dropRecord)
       put.forEach(takeRecord)
       apply()
--- a/packages/magnoliabay/src/node/members/memoryNetwork.ts
+++ b/packages/magnoliabay/src/node/members/memoryNetwork.ts
@@ -10,23 +10,23 @@
 import type { PeerError, Peers } from './peers'
 import type { MemberRecord } from './record'
 
-export type MessageLeg = 'call' | 'reply' | 'notice'
+export type MessageType = 'call' | 'reply' | 'notice'
 
 export interface Message {
   from: string
   to: string
   kind: string
-  leg: MessageLeg
+  type: MessageType
   body: unknown
 }
 
 /** Delays in milliseconds at which copies arrive: none means lost, two mean doubled. */
-export type Fate = (message: Message) => readonly number[]
+export type DeliveryPolicy = (message: Message) => readonly number[]
 
 export interface MemoryNetworkOptions {
   clock: Clock
   /** @default every message arrives once, after 1 ms */
-  fate?: Fate
+  deliveryPolicy?: DeliveryPolicy
 }
 
 export interface MemoryNetwork {
@@ -36,10 +36,10 @@
   /** Whether the member's record stands in the store: without it, others don't count it among the members. */
   setRegistered (memberId: string, isRegistered: boolean): void
   /** Messages between the two are lost until `heal`. */
-  cut (one: string, other: string): void
+  partition (one: string, other: string): void
   heal (one: string, other: string): void
   /** Replaces what decides about messages. */
-  setFate (fate: Fate): void
+  setDeliveryPolicy (fate: DeliveryPolicy): void
 }
 
 const DEFAULT_DELAY_MS = 1
@@ -57,7 +57,7 @@
   const nodes = new Map<string, Node>()
   const cuts = new Set<string>()
   const unregistered = new Set<string>()
-  let fate: Fate = options.fate ?? (() => [DEFAULT_DELAY_MS])
+  let fate: DeliveryPolicy = options.deliveryPolicy ?? (() => [DEFAULT_DELAY_MS])
 
   const pairOf = (one: string, other: string): string => [one, other].sort().join(' ')
   const isConnected = (from: string, to: string): boolean => from === to || (nodes.has(to) && !cuts.has(pairOf(from, to)))
@@ -74,9 +74,9 @@
   const callOver = (sender: Node, to: string, kind: string, body: unknown, timeoutMs: number): Promise<Result<unknown, PeerError>> => new Promise(resolve => {
     if (!isConnected(sender.member.id, to)) return resolve(Err({ kind: 'not-connected', message: `No link to ${to}.` }))
     const cancel = clock.schedule(timeoutMs, () => resolve(Err({ kind: 'timeout', message: `No answer to ${kind} in time.` })))
-    carry({ from: sender.member.id, to, kind, leg: 'call', body }, sender, async (receiver, received) => {
+    carry({ from: sender.member.id, to, kind, type: 'call', body }, sender, async (receiver, received) => {
       const result = await receiver.dispatch.handleCall(kind, received, sender.member)
-      const reply: Message = { from: to, to: sender.member.id, kind, leg: 'reply', body: { ok: result.ok, value: result.val } }
+      const reply: Message = { from: to, to: sender.member.id, kind, type: 'reply', body: { ok: result.ok, value: result.val } }
       carry(reply, receiver, (_sender, answer) => {
         cancel()
         const { ok, value } = answer as { ok: boolean, value: unknown }
@@ -87,7 +87,7 @@
   const peersOf = (node: Node): Peers => {
     const self = node.member
     type Answer = Result<never, PeerError>
-    const notify: Peers['notify'] = (to, notice, body) => carry({ from: self.id, to, kind: notice.kind, leg: 'notice', body }, node, (receiver, received) =>
+    const notify: Peers['notify'] = (to, notice, body) => carry({ from: self.id, to, kind: notice.kind, type: 'notice', body }, node, (receiver, received) =>
       receiver.dispatch.handleNotice(notice.kind, received, self))
     return {
       self,
@@ -125,7 +125,7 @@
       else unregistered.add(memberId)
       announce()
     },
-    cut: (one, other) => { cuts.add(pairOf(one, other)) },
+    partition: (one, other) => { cuts.add(pairOf(one, other)) },
     heal: (one, other) => {
       cuts.delete(pairOf(one, other))
       const ends = [nodes.get(one), nodes.get(other)]
@@ -133,6 +133,6 @@
       ends[0].connected.emit(ends[1].member)
       ends[1].connected.emit(ends[0].member)
     },
-    setFate: next => { fate = next }
+    setDeliveryPolicy: next => { fate = next }
   }
 }
--- a/packages/magnoliabay/src/node/members/network.ts
+++ b/packages/magnoliabay/src/node/members/network.ts
@@ -9,7 +9,7 @@
 import { Err } from '../result'
 import type { Result } from '../result'
 import { listenOn } from '../utils'
-import { createDialling } from './dialling'
+import { createDialling } from './dialer'
 import { createDispatch, createListeners } from './dispatch'
 import { encodeFrame } from './frames'
 import { GOSSIP_KIND, createGossip } from './gossip'
@@ -19,7 +19,7 @@
 import { neighboursOf, placeOnRing } from './neighbours'
 import type { PeerError, Peers } from './peers'
 import type { MemberRecord } from './record'
-import { PLAIN_TRANSPORT } from './transport'
+import { TCP_TRANSPORT } from './transport'
 import type { PeerTransport } from './transport'
 
 /** A link outside the neighbourhood that has said nothing of ours for this long is closed. */
@@ -45,15 +45,15 @@
   /** Replaces the known members; links to those gone are closed, links to new neighbours are dialled. */
   setMembers (records: readonly MemberRecord[]): void
   /** What speaks for a member being there: a link, or the lack of one where one is kept. */
-  evidenceOf (memberId: string): LinkEvidence
+  linkStateOf (memberId: string): LinkState
   /** Dials an address without knowing who is there, once; resolves when that link has ended. */
-  greet (peerAddress: string): Promise<void>
+  connectOnce (peerAddress: string): Promise<void>
   start (): Promise<void>
   close (): Promise<void>
 }
 
 /** `none`: not a neighbour, so no link is kept and its lack says nothing. */
-export type LinkEvidence = 'linked' | 'unlinked' | 'none'
+export type LinkState = 'linked' | 'unlinked' | 'none'
 
 interface OpenLink {
   link: Link
@@ -62,7 +62,7 @@
 }
 
 export function createPeerNetwork (options: PeerNetworkOptions): PeerNetwork {
-  const { self, clock, logger, transport = PLAIN_TRANSPORT } = options
+  const { self, clock, logger, transport = TCP_TRANSPORT } = options
   const dispatch = createDispatch()
   const ticker = createTicker(clock, BEAT_PERIOD_MS)
   const changed = createListeners<[]>()
@@ -212,11 +212,11 @@
     onMembersChanged: changed.add,
     onConnected: connected.add,
     setMembers,
-    evidenceOf: memberId => {
+    linkStateOf: memberId => {
       if (memberId === self.id || links.has(memberId)) return 'linked'
       return neighbours.has(memberId) ? 'unlinked' : 'none'
     },
-    greet: peerAddress => dialling.dialOnce({ peerAddress }),
+    connectOnce: peerAddress => dialling.dialOnce({ peerAddress }),
     start: () => listenOn(server, self.peerAddress),
     close: async () => {
       dialling.close()
--- a/packages/magnoliabay/src/node/members/reach.ts
+++ b/packages/magnoliabay/src/node/members/reachabilityProbe.ts
@@ -6,12 +6,12 @@
 import { definePeerCall } from './peers'
 import type { Peers } from './peers'
 
-export interface Reach {
+export interface ReachabilityProbe {
   /**
    * True when neither this member nor any of a few others gets an answer from `memberId`. Never true without
    * another member's word: one that is cut off itself can't reach anybody, and must not take that for news.
    */
-  isOutOfReach (memberId: string): Promise<boolean>
+  isUnreachable (memberId: string): Promise<boolean>
 }
 
 const pingCall = definePeerCall<null, true>('members.ping')
@@ -22,7 +22,7 @@
 const WITNESS_TIMEOUT_MS = 1500
 const WITNESSES = 3
 
-export function createReach (peers: Peers): Reach {
+export function createReachabilityProbe (peers: Peers): ReachabilityProbe {
   const ping = async (memberId: string): Promise<boolean> => {
     const reply = await peers.call(memberId, pingCall, null, { timeoutMs: PING_TIMEOUT_MS })
     return reply.ok
@@ -36,7 +36,7 @@
   peers.serve(witnessCall, async ({ member }) => ({ isReached: await ping(member) }))
 
   return {
-    isOutOfReach: async memberId => {
+    isUnreachable: async memberId => {
       if (await ping(memberId)) return false
       const witnesses = peers.members()
         .filter(member => member.id !== memberId && member.id !== peers.self.id && peers.isConnected(member.id))
--- a/packages/magnoliabay/src/node/members/record.ts
+++ b/packages/magnoliabay/src/node/members/record.ts
@@ -1,5 +1,5 @@
 /** What a member tells the others about itself, kept in the store under its lease. */
-import { STORE_ROOT } from '../constants'
+import { STORE_KEY_PREFIX } from '../constants'
 
 export interface MemberRecord {
   /** Instance id, stable over restarts of the same instance. */
@@ -22,7 +22,7 @@
   processorShare: number
 }
 
-export const MEMBERS_PREFIX = `${STORE_ROOT}/members/`
+export const MEMBERS_PREFIX = `${STORE_KEY_PREFIX}/members/`
 
 export function memberKey (id: string): string {
   return `${MEMBERS_PREFIX}${id}`
--- a/packages/magnoliabay/src/node/members/seeds.ts
+++ b/packages/magnoliabay/src/node/members/seeds.ts
@@ -9,7 +9,7 @@
 const GREET_PERIOD_MS = 2000
 
 export interface SeedOptions {
-  network: Pick<PeerNetwork, 'greet'>
+  network: Pick<PeerNetwork, 'connectOnce'>
   /** Peer addresses, asked in turn. */
   seeds: readonly string[]
   /** Whether a peer is still looked for. */
@@ -18,13 +18,13 @@
 }
 
 /** Greets one seed after the other until none is needed any more, or `signal` aborts. */
-export function greetSeeds ({ network, seeds, isNeeded, clock }: SeedOptions, signal: AbortSignal): void {
+export function contactSeeds ({ network, seeds, isNeeded, clock }: SeedOptions, signal: AbortSignal): void {
   if (seeds.length === 0) return
   const found = new AbortController()
   let next = 0
   const greetOne = (): void => {
     if (!isNeeded()) return found.abort()
-    network.greet(seeds[next++ % seeds.length]!)
+    network.connectOnce(seeds[next++ % seeds.length]!)
   }
   repeat(clock, GREET_PERIOD_MS, AbortSignal.any([signal, found.signal]), greetOne)
 }
--- a/packages/magnoliabay/src/node/members/proof.ts
+++ b/packages/magnoliabay/src/node/members/terminationDetector.ts
@@ -10,7 +10,7 @@
 import { definePeerCall, definePeerNotice } from './peers'
 import type { MemberRecord } from './record'
 
-export interface ProcessName {
+export interface ProcessId {
   /** Instance id. */
   member: string
   incarnation: string
@@ -21,21 +21,21 @@
  * `goodbye`: the process said so itself. `newer-incarnation`: another process has bound the same addresses.
  * `operator`: a person has said so.
  */
-export type ProofKind = 'listed-gone' | 'goodbye' | 'newer-incarnation' | 'operator'
+export type TerminationProofKind = 'listed-gone' | 'goodbye' | 'newer-incarnation' | 'operator'
 
-export interface GoneProofs {
+export interface TerminationProofs {
   /** The proof that this very process is gone, or undefined while it may still act. */
-  proofFor (process: ProcessName): ProofKind | undefined
-  onProven (listener: (process: ProcessName, proof: ProofKind) => void): Disposer
+  proofFor (process: ProcessId): TerminationProofKind | undefined
+  onTerminated (listener: (process: ProcessId, proof: TerminationProofKind) => void): Disposer
 }
 
-export interface ProofKeeper extends GoneProofs {
+export interface TerminationDetector extends TerminationProofs {
   /** A process that was seen, from its record or its link. Kept here even when its lease has lapsed. */
-  learn (record: MemberRecord): void
-  noteGoodbye (record: MemberRecord): void
+  observeProcess (record: MemberRecord): void
+  recordGoodbye (record: MemberRecord): void
   /** The platform's list as just read. */
-  noteList (listed: readonly ListedInstance[]): void
-  declare (process: ProcessName): void
+  observeInstanceList (listed: readonly ListedInstance[]): void
+  declareTerminated (process: ProcessId): void
 }
 
 export interface ProofKeeperOptions {
@@ -52,8 +52,8 @@
 const LEAST_READINGS = 5
 
 export interface ProofMessage {
-  process: ProcessName
-  proof: ProofKind
+  process: ProcessId
+  proof: TerminationProofKind
 }
 
 const proofNotice = definePeerNotice<ProofMessage>('members.gone')
@@ -66,23 +66,23 @@
   readings: number
 }
 
-export function createProofKeeper (options: ProofKeeperOptions): ProofKeeper {
+export function createTerminationDetector (options: ProofKeeperOptions): TerminationDetector {
   const { peers, clock, logger } = options
   const sightings = new Map<string, Sighting>()
   const proofs = new Map<string, ProofMessage>()
-  const proven = createListeners<[ProcessName, ProofKind]>()
+  const proven = createListeners<[ProcessId, TerminationProofKind]>()
 
-  const accept = (process: ProcessName, proof: ProofKind): boolean => {
+  const accept = (process: ProcessId, proof: TerminationProofKind): boolean => {
     if (proofs.has(process.incarnation) || process.incarnation === peers.self.incarnation) return false
     proofs.set(process.incarnation, { process, proof })
     logger.info('process-gone', { member: process.member, incarnation: process.incarnation, proof })
     proven.emit(process, proof)
     return true
   }
-  const prove = (process: ProcessName, proof: ProofKind): void => {
+  const prove = (process: ProcessId, proof: TerminationProofKind): void => {
     if (accept(process, proof)) peers.notifyAll(proofNotice, { process, proof })
   }
-  const nameOf = (record: MemberRecord): ProcessName => ({ member: record.id, incarnation: record.incarnation })
+  const nameOf = (record: MemberRecord): ProcessId => ({ member: record.id, incarnation: record.incarnation })
   /** Two processes can't have bound the same addresses: the older one's sockets are closed. */
   const isReplacedBy = (older: MemberRecord, newer: MemberRecord): boolean =>
     older.id === newer.id && older.incarnation !== newer.incarnation && older.startedAtMs < newer.startedAtMs &&
@@ -127,14 +127,14 @@
 
   return {
     proofFor: process => proofs.get(process.incarnation)?.proof,
-    onProven: proven.add,
-    learn,
-    noteGoodbye: record => prove(nameOf(record), 'goodbye'),
-    noteList: listed => {
+    onTerminated: proven.add,
+    observeProcess: learn,
+    recordGoodbye: record => prove(nameOf(record), 'goodbye'),
+    observeInstanceList: listed => {
       const ids = new Set(listed.filter(instance => instance.role === 'entry').map(instance => instance.id))
       sightings.forEach(sighting => follow(sighting, ids.has(sighting.record.id)))
       forgetProven()
     },
-    declare: process => prove(process, 'operator')
+    declareTerminated: process => prove(process, 'operator')
   }
 }
--- a/packages/magnoliabay/src/node/members/transport.ts
+++ b/packages/magnoliabay/src/node/members/transport.ts
@@ -14,4 +14,4 @@
   createServer (onSocket: (socket: Socket) => void): Server
 }
 
-export const PLAIN_TRANSPORT: PeerTransport = { dial: connect, createServer: onSocket => createServer(onSocket) }
+export const TCP_TRANSPORT: PeerTransport = { dial: connect, createServer: onSocket => createServer(onSocket) }
--- a/packages/magnoliabay/src/node/once/answers.ts
+++ b/packages/magnoliabay/src/node/once/answers.ts
@@ -1,9 +1,9 @@
 /** Keeps answers with their claims, for repeats at any instance; long ones in parts. */
-import type { ServiceAnswer } from '../backend/serviceCall'
+import type { ServiceResponse } from '../backend/serviceCall'
 import { MAX_STORE_VALUE_BYTES } from '../constants'
 import type { Store } from '../store'
-import type { AnswerRecord, ClaimRecord } from './record'
-import type { ClaimWriter } from './writes'
+import type { AnswerRecord, ClaimRecord } from './claimRecord'
+import type { ClaimWriter } from './claimWriter'
 
 export interface StoredClaim {
   key: string
@@ -17,7 +17,7 @@
 const BASE64 = 'base64'
 
 /** Writes the answer; false when it has to be tried again. */
-export async function writeAnswer (writer: ClaimWriter, claim: StoredClaim, answer: ServiceAnswer): Promise<boolean> {
+export async function writeAnswer (writer: ClaimWriter, claim: StoredClaim, answer: ServiceResponse): Promise<boolean> {
   const body = answer.body.toString(BASE64)
   const texts = body.length <= PART_CHARACTERS ? [] : splitText(body)
   if (texts.length > MAX_PARTS) return true
@@ -37,7 +37,7 @@
 }
 
 /** The kept answer; undefined when a part of it cannot be read just now. */
-export async function readAnswer (store: Pick<Store, 'get'>, answer: AnswerRecord): Promise<ServiceAnswer | undefined> {
+export async function readAnswer (store: Pick<Store, 'get'>, answer: AnswerRecord): Promise<ServiceResponse | undefined> {
   const found = await Promise.all(answer.parts.map(async key => await store.get(key, { priority: 'once' })))
   const texts = found.map(part => part.ok ? part.val?.value : undefined)
   if (texts.includes(undefined)) return undefined
--- a/packages/magnoliabay/src/node/once/groupWriter.ts
+++ b/packages/magnoliabay/src/node/once/batchWriter.ts
@@ -8,15 +8,15 @@
 import type { Store, StoreError } from '../store'
 import type { Compare, Transaction, WriteOperation } from '../store/store'
 import type { RetentionLease } from './retentionLease'
-import { sizeOf } from './writes'
-import type { ClaimWrite, ClaimWriter, WriteOutcome } from './writes'
+import { sizeOf } from './claimWriter'
+import type { ClaimWrite, ClaimWriter, WriteOutcome } from './claimWriter'
 
-export interface GroupWriterOptions {
+export interface BatchWriterOptions {
   store: Store
   lease: RetentionLease
   clock: Clock
   /** After a group, the next waits this long for others to join, milliseconds. @default 50 */
-  windowMs?: number
+  batchWindowMs?: number
   /** Writes in one transaction; the store takes 128 operations. @default 100 */
   maxWrites?: number
 }
@@ -35,9 +35,9 @@
   settle: (outcome: WriteOutcome) => void
 }
 
-export function createGroupWriter (options: GroupWriterOptions): ClaimWriter {
+export function createBatchWriter (options: BatchWriterOptions): ClaimWriter {
   const { store, lease, clock } = options
-  const windowMs = options.windowMs ?? WINDOW_MS
+  const windowMs = options.batchWindowMs ?? WINDOW_MS
   const maxWrites = options.maxWrites ?? MAX_WRITES
   let queue: Waiting[] = []
   let isWindowOpen = false
@@ -71,7 +71,7 @@
     const written = await store.transact(transactionOf(group.map(({ write }) => write), granted.val), PRIORITY)
     if (written.ok) return written.val.succeeded ? settleAll(group, 'done') : await withoutLosers(group, rounds)
     if (written.val.kind === 'lease-lost' && rounds > 0) {
-      lease.forget(granted.val)
+      lease.invalidate(granted.val)
       return await carryOut(group, rounds - 1)
     }
     if (written.val.kind === 'unknown') return await readBack(group)
--- a/packages/magnoliabay/src/node/once/record.ts
+++ b/packages/magnoliabay/src/node/once/claimRecord.ts
@@ -1,8 +1,8 @@
 /** A claim as the store holds it. */
 import { createHash } from 'node:crypto'
-import { STORE_ROOT } from '../constants'
+import { STORE_KEY_PREFIX } from '../constants'
 
-const ONCE_PREFIX = `${STORE_ROOT}/once/`
+const ONCE_PREFIX = `${STORE_KEY_PREFIX}/once/`
 
 export interface ClaimRequest {
   team: string
--- a/packages/magnoliabay/src/node/once/sharedWriter.ts
+++ b/packages/magnoliabay/src/node/once/forwardingWriter.ts
@@ -6,8 +6,8 @@
 import { definePeerCall } from '../members'
 import type { MemberRecord, Peers } from '../members'
 import { rankByRendezvous } from '../utils'
-import { sizeOf } from './writes'
-import type { ClaimWrite, ClaimWriter, WriteOutcome } from './writes'
+import { sizeOf } from './claimWriter'
+import type { ClaimWrite, ClaimWriter, WriteOutcome } from './claimWriter'
 
 const writeClaim = definePeerCall<ClaimWrite, WriteOutcome>('once.write')
 
@@ -16,14 +16,14 @@
 /** Longer writes would hold up the link to the writer; they go to the store straight. */
 const MAX_CARRIED_BYTES = 32_768
 
-export interface SharedWriterOptions {
+export interface ForwardingWriterOptions {
   peers: Pick<Peers, 'self' | 'members' | 'isConnected' | 'onMembersChanged' | 'call' | 'serve'>
   /** Writes to the store from here. */
-  local: ClaimWriter
+  localWriter: ClaimWriter
 }
 
-export function createSharedWriter (options: SharedWriterOptions): ClaimWriter {
-  const { peers, local } = options
+export function createForwardingWriter (options: ForwardingWriterOptions): ClaimWriter {
+  const { peers, localWriter: local } = options
   peers.serve(writeClaim, async write => await local.write(write))
 
   // Ranking hashes every member's name: done once for each change of members, not for each write.
--- a/packages/magnoliabay/src/node/once/index.ts
+++ b/packages/magnoliabay/src/node/once/index.ts
@@ -3,10 +3,10 @@
  * Nobody but its holder ever sends under a claim, and a claim is never taken over: when its holder dies, the
  * request stays *may have run* until the claim's retention runs out.
  */
-import type { ServiceAnswer } from '../backend/serviceCall'
+import type { ServiceResponse } from '../backend/serviceCall'
 import type { Clock } from '../clock'
 import { sleep } from '../clock'
-import { mayHaveRun, refusal } from '../failures'
+import { createIndeterminateFailure, createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import type { Logger } from '../logger'
 import type { Store } from '../store'
@@ -15,15 +15,15 @@
 import { createId } from '../utils'
 import { readAnswer, writeAnswer } from './answers'
 import type { StoredClaim } from './answers'
-import { claimKeyOf, requestDigestOf } from './record'
-import type { ClaimRecord, ClaimRequest } from './record'
-import type { ClaimWriter } from './writes'
+import { claimKeyOf, requestDigestOf } from './claimRecord'
+import type { ClaimRecord, ClaimRequest } from './claimRecord'
+import type { ClaimWriter } from './claimWriter'
 
-export { createGroupWriter } from './groupWriter'
+export { createBatchWriter } from './batchWriter'
 export { createRetentionLease } from './retentionLease'
-export { createSharedWriter } from './sharedWriter'
-export type { ClaimRequest } from './record'
-export type Claim = StoredClaim
+export { createForwardingWriter } from './forwardingWriter'
+export type { ClaimRequest } from './claimRecord'
+export type IdempotencyClaim = StoredClaim
 
 const RETRY_AFTER_SECONDS = 1
 const RETRY_MS = 1000
@@ -37,30 +37,30 @@
 
 /** `claimed`: send it, once. `answered`: it ran before, this is its answer. */
 export type ClaimOutcome =
-  | { kind: 'claimed', claim: Claim }
-  | { kind: 'answered', answer: ServiceAnswer }
+  | { kind: 'claimed', claim: IdempotencyClaim }
+  | { kind: 'answered', answer: ServiceResponse }
 
-export interface Once {
+export interface IdempotencyClaims {
   claim (req: ClaimRequest): Promise<Result<ClaimOutcome, Failure>>
   /** Keeps the answer with the claim, in the background, through an outage of the store. */
-  storeAnswer (claim: Claim, answer: ServiceAnswer): void
+  storeAnswer (claim: IdempotencyClaim, answer: ServiceResponse): void
   /** Gives the claim back: certainly nothing was sent. */
-  release (claim: Claim): Promise<void>
+  release (claim: IdempotencyClaim): Promise<void>
   /** Resolves when no answer waits to be kept any more. */
-  settled (): Promise<void>
+  waitForPendingWrites (): Promise<void>
 }
 
-export interface OnceOptions {
+export interface IdempotencyClaimsOptions {
   store: Store
   writer: ClaimWriter
   holder: string
   clock: Clock
   logger: Logger
   /** After this long, a claim without an answer is taken to have lost its holder. Milliseconds. */
-  inProgressMs: number
+  inProgressTimeoutMs: number
 }
 
-export function createOnce (options: OnceOptions): Once {
+export function createIdempotencyClaims (options: IdempotencyClaimsOptions): IdempotencyClaims {
   const { store, writer, clock, logger } = options
   const waiting = new Set<Promise<void>>()
 
@@ -79,26 +79,26 @@
     const record = JSON.parse(found.val.value) as ClaimRecord
     if (record.claimId === mine.claimId) return Ok({ kind: 'claimed', claim: { key, record: mine } })
     if (record.digest !== mine.digest) {
-      return Err(refusal('idempotency_conflict', 'This Idempotency-Key was used before with another request. Use a new key for a new request.'))
+      return Err(createRefusal('idempotency_conflict', 'This Idempotency-Key was used before with another request. Use a new key for a new request.'))
     }
-    if (record.answer === undefined) return Err(withoutAnswer(record, clock.now(), options.inProgressMs))
+    if (record.answer === undefined) return Err(withoutAnswer(record, clock.now(), options.inProgressTimeoutMs))
     const answer = await readAnswer(store, record.answer)
     if (answer === undefined) return Err(answerUnread())
     return Ok({ kind: 'answered', answer })
   }
-  const keepAnswer = async (claim: Claim, answer: ServiceAnswer): Promise<void> => {
+  const keepAnswer = async (claim: IdempotencyClaim, answer: ServiceResponse): Promise<void> => {
     for (let tries = 0; tries < ANSWER_TRIES; tries += 1) {
       if (await writeAnswer(writer, claim, answer)) return
       await sleep(clock, RETRY_MS)
     }
     logger.warn('answer-not-kept', { claim: claim.record.claimId, reason: 'store unavailable for too long' })
   }
-  const removeClaim = async (claim: Claim): Promise<boolean> => {
+  const removeClaim = async (claim: IdempotencyClaim): Promise<boolean> => {
     const outcome = await writer.write({ kind: 'remove', key: claim.key, expected: JSON.stringify(claim.record) })
     return outcome === 'done' || outcome === 'lost'
   }
   /** Left standing, the claim would refuse for its whole retention what never ran. */
-  const retryRelease = async (claim: Claim): Promise<void> => {
+  const retryRelease = async (claim: IdempotencyClaim): Promise<void> => {
     for (let tries = 0; tries < RELEASE_TRIES; tries += 1) {
       await sleep(clock, RETRY_MS)
       if (await removeClaim(claim)) return
@@ -133,27 +133,27 @@
       if (await removeClaim(claim)) return
       runInBackground(retryRelease(claim))
     },
-    settled: async () => { await Promise.all([...waiting]) }
+    waitForPendingWrites: async () => { await Promise.all([...waiting]) }
   }
 }
 
 function storeDark (): Failure {
-  return refusal('store_unavailable', 'The claim for this request cannot be recorded just now, so it was not sent.', RETRY_AFTER_SECONDS)
+  return createRefusal('store_unavailable', 'The claim for this request cannot be recorded just now, so it was not sent.', RETRY_AFTER_SECONDS)
 }
 
 function answerUnread (): Failure {
   return {
-    ...mayHaveRun('store_unavailable', 'The request has run; its answer cannot be read just now. Ask again with the same key.'),
+    ...createIndeterminateFailure('store_unavailable', 'The request has run; its answer cannot be read just now. Ask again with the same key.'),
     retryAfterSeconds: RETRY_AFTER_SECONDS
   }
 }
 
 function withoutAnswer (record: ClaimRecord, nowMs: number, inProgressMs: number): Failure {
   if (nowMs - record.claimedAtMs > inProgressMs) {
-    return mayHaveRun('may_have_run', 'The request may have run, and its answer was lost. It will not be run again under this key.')
+    return createIndeterminateFailure('may_have_run', 'The request may have run, and its answer was lost. It will not be run again under this key.')
   }
   return {
-    ...mayHaveRun('idempotency_in_progress', 'The same request is being carried out. Ask again with the same key for its answer.'),
+    ...createIndeterminateFailure('idempotency_in_progress', 'The same request is being carried out. Ask again with the same key for its answer.'),
     retryAfterSeconds: RETRY_AFTER_SECONDS
   }
 }
--- a/packages/magnoliabay/src/node/once/retentionLease.ts
+++ b/packages/magnoliabay/src/node/once/retentionLease.ts
@@ -17,7 +17,7 @@
 export interface RetentionLease {
   current (): Promise<Result<string, StoreError>>
   /** The store doesn't know it any more: the next call gets another. */
-  forget (leaseId: string): void
+  invalidate (leaseId: string): void
 }
 
 /** Share of the retention for which one lease takes new claims; the lease lasts longer by as much. */
@@ -43,6 +43,6 @@
       asking ??= grant()
       return await asking
     },
-    forget: leaseId => { if (held?.id === leaseId) held = undefined }
+    invalidate: leaseId => { if (held?.id === leaseId) held = undefined }
   }
 }
--- a/packages/magnoliabay/src/node/operators/audit.ts
+++ b/packages/magnoliabay/src/node/operators/audit.ts
@@ -1,11 +1,11 @@
 /** What operators changed: who, what, when, from which version. Kept in the store, bounded. */
 import * as v from 'valibot'
-import { STORE_ROOT } from '../constants'
+import { STORE_KEY_PREFIX } from '../constants'
 import type { PutOperation, Store, StoreError, WriteOperation } from '../store'
 import type { Result } from '../result'
 import { createId, parseJson } from '../utils'
 
-const AUDIT_PREFIX = `${STORE_ROOT}/audit/`
+const AUDIT_PREFIX = `${STORE_KEY_PREFIX}/audit/`
 /** Records kept; older ones are dropped {@link DROPPED_TOGETHER} at a time. */
 const KEPT_RECORDS = 500
 const DROPPED_TOGETHER = 50
--- a/packages/magnoliabay/src/node/operators/authenticate.ts
+++ b/packages/magnoliabay/src/node/operators/authenticate.ts
@@ -1,7 +1,7 @@
 /** Operators' keys: named, apart from callers' keys, known by their digests from the settings. */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import type { ResolvedSettings } from '../config'
-import { refusal } from '../failures'
+import { createRefusal } from '../failures'
 import { sendFailure } from '../entry/respond'
 import type { EntryRequest, Handler } from '../entry/types'
 
@@ -29,7 +29,7 @@
     delete req.headers.authorization
     const digest = Buffer.from(operatorKeyDigest(shown), 'hex')
     const matching = known.filter(candidate => candidate.digest.length === digest.length && timingSafeEqual(candidate.digest, digest))
-    if (matching.length === 0) return sendFailure(res, refusal('invalid_key', 'This needs an operator key.'), req.requestId)
+    if (matching.length === 0) return sendFailure(res, createRefusal('invalid_key', 'This needs an operator key.'), req.requestId)
     const operatorReq = req as OperatorRequest
     operatorReq.operator = matching[0]!.name
     next()
--- a/packages/magnoliabay/src/node/operators/client.ts
+++ b/packages/magnoliabay/src/node/operators/client.ts
@@ -1,16 +1,16 @@
 /** Client of the operators' interface, for the command line and the embedded default. */
 import { Agent, request } from 'undici'
 import type { Dispatcher } from 'undici'
-import { BASE_DOCUMENT, formatProblem, parseTomlText, prepareDocument } from '../config'
+import { BASE_DOCUMENT, formatProblem, parseTomlText, encodeDocument } from '../config'
 import type { Manifest } from '../config'
-import type { EntryKind, PreparedDocument } from '../config/body'
+import type { EntryKind, EncodedDocument } from '../config/documentBody'
 import type { BurnReport } from '../report'
 import { createId } from '../utils'
 import type { AuditRecord } from './audit'
 import type { OperatorError } from './commands'
 import type { SubjectKind } from './decisionLog'
 import type { Explanation } from './explain'
-import type { ConfigOverview, DocumentContents, EntryList, InstanceSpread, KeySummary } from './queries'
+import type { ConfigOverview, DocumentContents, EntryList, InstanceRollout, KeySummary } from './queries'
 import type { FleetStatus } from './status'
 
 export interface OperatorClientOptions {
@@ -45,7 +45,7 @@
 /** A file that does not pass its check; nothing was sent. */
 export class ConfigFileError extends Error {}
 
-export interface PreparedChange extends PreparedDocument {
+export interface PreparedChange extends EncodedDocument {
   document: string
   expectedVersion: number
   /** The same change sent again, to any instance, is accepted once. */
@@ -54,7 +54,7 @@
 }
 
 /** What of a change need not be sent: chunks that the fleet has. */
-export type KnownVersion = Pick<Manifest, 'core' | 'adapters'>
+export type BaseManifest = Pick<Manifest, 'core' | 'adapters'>
 
 export interface OperatorClient {
   createKey (team: string): Promise<CreatedKey>
@@ -62,12 +62,12 @@
   keys (team?: string): Promise<KeySummary[]>
   /** Makes `text` the newest version of the base and returns that version. */
   applyConfig (text: string): Promise<number>
-  apply (change: PreparedChange, known?: KnownVersion): Promise<Manifest>
+  apply (change: PreparedChange, known?: BaseManifest): Promise<Manifest>
   config (): Promise<ConfigOverview>
   /** The newest version, or the one given. */
   document (document: string, version?: number): Promise<DocumentContents>
   history (document: string): Promise<Manifest[]>
-  spread (document: string, version: number, timeoutMs: number): Promise<InstanceSpread[]>
+  rollout (document: string, version: number, timeoutMs: number): Promise<InstanceRollout[]>
   entries (kind: EntryKind, name?: string): Promise<EntryList>
   explain (kind: SubjectKind, id: string): Promise<Explanation>
   report (): Promise<BurnReport>
@@ -116,7 +116,7 @@
   const get = <T>(path: string, query: Record<string, string | number | undefined> = {}): Promise<T> =>
     call<T>('GET', withQuery(path, query))
 
-  const apply = async (change: PreparedChange, known?: KnownVersion): Promise<Manifest> => {
+  const apply = async (change: PreparedChange, known?: BaseManifest): Promise<Manifest> => {
     const digests = new Set(known === undefined ? [] : [known.core, ...known.adapters])
     const chunks = Object.fromEntries(Object.entries(change.chunks).filter(([digest]) => !digests.has(digest)))
     try {
@@ -136,7 +136,7 @@
     withdrawKey: async keyId => { await call('POST', `/operator/keys/${encodeURIComponent(keyId)}/withdraw`) },
     keys: team => get('/operator/keys', { team }),
     applyConfig: async text => {
-      const prepared = prepareText(BASE_DOCUMENT, text)
+      const prepared = prepareTomlDocument(BASE_DOCUMENT, text)
       const current = (await config()).documents.find(manifest => manifest.document === BASE_DOCUMENT)
       const manifest = await apply({ ...prepared, document: BASE_DOCUMENT, expectedVersion: current?.version ?? 0, changeId: createId('change'), note: '' })
       return manifest.version
@@ -145,7 +145,7 @@
     config,
     document: (document, version) => get('/operator/config/document', { document, version }),
     history: document => get('/operator/config/history', { document }),
-    spread: (document, version, timeoutMs) => get('/operator/config/spread', { document, version, timeoutMs }),
+    rollout: (document, version, timeoutMs) => get('/operator/config/spread', { document, version, timeoutMs }),
     entries: (kind, name) => get(`/operator/entries/${kind}`, { name }),
     explain: (kind, id) => get(`/operator/explain/${kind}/${encodeURIComponent(id)}`),
     report: () => get('/operator/report'),
@@ -157,8 +157,8 @@
 }
 
 /** Checks the text of a file and cuts it into chunks. Throws {@link ConfigFileError}. */
-export function prepareText (document: string, text: string): PreparedDocument {
-  const prepared = parseTomlText(`${document}.toml`, text).andThen(value => prepareDocument(document, value))
+export function prepareTomlDocument (document: string, text: string): EncodedDocument {
+  const prepared = parseTomlText(`${document}.toml`, text).andThen(value => encodeDocument(document, value))
   if (prepared.err) throw new ConfigFileError(prepared.val.problems.map(formatProblem).join('\n'))
   return prepared.val
 }
--- a/packages/magnoliabay/src/node/operators/commands.ts
+++ b/packages/magnoliabay/src/node/operators/commands.ts
@@ -1,17 +1,17 @@
 /** What operators change: keys and the configuration. Everything else asks (`queries.ts`). */
-import { createKey, KEYS_PREFIX } from '../admission'
-import type { KeyRecord, Keyring, NewKey } from '../admission'
+import { createCallerKey, KEY_RECORDS_PREFIX } from '../admission'
+import type { CallerKeyRecord, Keyring, CreatedCallerKey } from '../admission'
 import type { Clock } from '../clock'
 import { sleep } from '../clock'
-import type { Acceptor, ApplyError, ApplyRequest, ConfigHolder, Manifest } from '../config'
-import type { PeerError, Peers, ProofKeeper } from '../members'
+import type { ConfigCommitter, ApplyError, ApplyRequest, ConfigProvider, Manifest } from '../config'
+import type { PeerError, Peers, TerminationDetector } from '../members'
 import type { Store, StoreError } from '../store'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { parseJson } from '../utils'
 import { auditWrite, dropOldAudit } from './audit'
 import type { AuditAction } from './audit'
-import type { Drain } from './drain'
+import type { Drainer } from './drain'
 
 export type OperatorError =
   | { kind: 'store', cause: StoreError }
@@ -23,9 +23,9 @@
   | ApplyError
 
 export interface OperatorCommands {
-  createKey (team: string, operator: string): Promise<Result<NewKey, OperatorError>>
+  createKey (team: string, operator: string): Promise<Result<CreatedCallerKey, OperatorError>>
   /** Takes effect on every reachable instance at once, also while the store is dark; then the store is told. */
-  withdrawKey (keyId: string, operator: string): Promise<Result<KeyRecord, OperatorError>>
+  withdrawKey (keyId: string, operator: string): Promise<Result<CallerKeyRecord, OperatorError>>
   applyConfig (req: ApplyRequest): Promise<Result<Manifest, OperatorError>>
   /** The instance leaves `locate` and hands over what it holds; its process goes on. */
   drain (instance: string, operator: string): Promise<Result<{ instance: string }, OperatorError>>
@@ -43,12 +43,12 @@
 }
 
 export interface OperatorCommandsOptions {
-  proofs: Pick<ProofKeeper, 'declare'>
+  proofs: Pick<TerminationDetector, 'declareTerminated'>
   store: Store
   keyring: Keyring
-  cfg: ConfigHolder
-  acceptor: Acceptor
-  drain: Drain
+  cfg: ConfigProvider
+  acceptor: ConfigCommitter
+  drain: Drainer
   peers: Peers
   clock: Clock
 }
@@ -61,10 +61,10 @@
 
   const record = (operator: string, action: AuditAction, subject: string, detail: string) =>
     auditWrite({ atMs: clock.now(), operator, action, subject, detail, instance: options.peers.self.id })
-  const putKey = async (key: KeyRecord, audit: ReturnType<typeof record>): Promise<Result<KeyRecord, OperatorError>> => {
+  const putKey = async (key: CallerKeyRecord, audit: ReturnType<typeof record>): Promise<Result<CallerKeyRecord, OperatorError>> => {
     const written = await store.transact({
       compares: [],
-      writes: [{ kind: 'put', key: KEYS_PREFIX + key.id, value: JSON.stringify(key) }, audit]
+      writes: [{ kind: 'put', key: KEY_RECORDS_PREFIX + key.id, value: JSON.stringify(key) }, audit]
     }, { priority: 'config' })
     if (written.err) return Err({ kind: 'store', cause: written.val })
     dropOldAudit(store)
@@ -79,15 +79,15 @@
   return {
     createKey: async (team, operator) => {
       if (!await isTeamInForce(team)) return Err({ kind: 'unknown-team', team })
-      const created = createKey(team, clock.now())
+      const created = createCallerKey(team, clock.now())
       const written = await putKey(created.record, record(operator, 'key-created', created.record.id, `team ${team}`))
       return written.map(() => created)
     },
     withdrawKey: async (keyId, operator) => {
       keyring.withdraw({ keyId, atMs: clock.now() })
-      const found = await store.get(KEYS_PREFIX + keyId, { priority: 'config' })
+      const found = await store.get(KEY_RECORDS_PREFIX + keyId, { priority: 'config' })
       if (found.err) return Err({ kind: 'store', cause: found.val })
-      const before = parseJson(found.val?.value ?? '') as KeyRecord | undefined
+      const before = parseJson(found.val?.value ?? '') as CallerKeyRecord | undefined
       if (before === undefined) return Err({ kind: 'unknown-key', keyId })
       const withdrawn = { ...before, withdrawnAtMs: before.withdrawnAtMs ?? clock.now() }
       return await putKey(withdrawn, record(operator, 'key-withdrawn', keyId, `team ${before.team}`))
@@ -99,7 +99,7 @@
       return Ok(drained.val)
     },
     declareGone: async (process, operator) => {
-      options.proofs.declare(process)
+      options.proofs.declareTerminated(process)
       await store.transact({ compares: [], writes: [record(operator, 'declared-gone', process.member, process.incarnation)] }, { priority: 'config' })
       return Ok(process)
     },
--- a/packages/magnoliabay/src/node/operators/decisionLog.ts
+++ b/packages/magnoliabay/src/node/operators/decisionLog.ts
@@ -17,7 +17,7 @@
 
 export interface DecisionLog {
   /** The same logger, with its events kept here as well, those below its level too. */
-  wrap (logger: Logger): Logger
+  wrapLogger (logger: Logger): Logger
   /** What is known about a subject, the oldest first. */
   about (kind: SubjectKind, id: string): DecisionEvent[]
 }
@@ -58,7 +58,7 @@
     }
   }
   return {
-    wrap: logger => wrap(logger, {}),
+    wrapLogger: logger => wrap(logger, {}),
     about: (kind, id) => {
       const own = inOrder().filter(({ fields }) => fields[kind] === id)
       return own.slice(-MAX_EVENTS_TOLD)
--- a/packages/magnoliabay/src/node/operators/drain.ts
+++ b/packages/magnoliabay/src/node/operators/drain.ts
@@ -11,14 +11,14 @@
   leave: () => Promise<void>
 }
 
-export interface Drain {
+export interface Drainer {
   drain (instance: string, operator: string): Promise<Result<{ instance: string }, PeerError>>
 }
 
 const drainInstance = definePeerCall<{ operator: string }, { instance: string }>('operators.drain')
 const DRAIN_TIMEOUT_MS = 15_000
 
-export function createDrain ({ peers, logger, leave }: DrainOptions): Drain {
+export function createDrainer ({ peers, logger, leave }: DrainOptions): Drainer {
   peers.serve(drainInstance, async ({ operator }) => {
     logger.info('instance-drained', { operator, reason: 'an operator asked for it' })
     await leave()
--- a/packages/magnoliabay/src/node/operators/explain.ts
+++ b/packages/magnoliabay/src/node/operators/explain.ts
@@ -13,7 +13,7 @@
   unheard: string[]
 }
 
-export interface Explain {
+export interface Explainer {
   explain (kind: SubjectKind, id: string): Promise<Explanation>
 }
 
@@ -26,7 +26,7 @@
   return SUBJECT_KINDS.some(kind => kind === text)
 }
 
-export function createExplain (options: { peers: Peers, decisions: DecisionLog }): Explain {
+export function createExplainer (options: { peers: Peers, decisions: DecisionLog }): Explainer {
   const { peers, decisions } = options
   peers.serve(decisionsAbout, ({ kind, id }) => ({ events: decisions.about(kind, id) }))
   const askAll = async (kind: SubjectKind, id: string): Promise<Omit<Explanation, 'kind' | 'id'>> => {
--- a/packages/magnoliabay/src/node/operators/index.ts
+++ b/packages/magnoliabay/src/node/operators/index.ts
@@ -7,7 +7,7 @@
 import { requestIdMiddleware } from '../entry/middleware/requestId'
 import { sendFailure } from '../entry/respond'
 import type { EntryRequest } from '../entry/types'
-import { refusal } from '../failures'
+import { createRefusal } from '../failures'
 import type { Logger } from '../logger'
 import { createHttpServer } from '../tls'
 import type { Certificates } from '../tls'
@@ -22,7 +22,7 @@
 /** A change may bring all chunks of 80,000 adapters. */
 const MAX_OPERATOR_BODY_BYTES = 16 * 1024 * 1024
 
-export interface OperatorsOptions extends RouteOptions {
+export interface OperatorServerOptions extends RouteOptions {
   settings: ResolvedSettings
   /** @default plain text */
   certificates?: Certificates
@@ -30,19 +30,19 @@
   logger: Logger
 }
 
-export interface Operators {
+export interface OperatorServer {
   start (): Promise<void>
   close (): Promise<void>
 }
 
-export function createOperators (options: OperatorsOptions): Operators {
+export function createOperatorServer (options: OperatorServerOptions): OperatorServer {
   const { settings, logger } = options
   const server = createHttpServer({}, options.certificates)
   const app = polka({
     server,
     onError: (err, req, res) => {
       logger.error('operators-fault', { reason: messageOf(err) })
-      sendFailure(res as ServerResponse, refusal('internal', 'Something went wrong here.'), (req as unknown as EntryRequest).requestId)
+      sendFailure(res as ServerResponse, createRefusal('internal', 'Something went wrong here.'), (req as unknown as EntryRequest).requestId)
     }
   })
   const limits = { maxBodyBytes: MAX_OPERATOR_BODY_BYTES, bodyTimeoutMs: settings.limits.bodyTimeoutMs }
--- a/packages/magnoliabay/src/node/operators/queries.ts
+++ b/packages/magnoliabay/src/node/operators/queries.ts
@@ -1,12 +1,12 @@
 /** What operators ask. Nothing here changes anything. */
-import { KEYS_PREFIX } from '../admission'
-import type { KeyRecord } from '../admission'
+import { KEY_RECORDS_PREFIX } from '../admission'
+import type { CallerKeyRecord } from '../admission'
 import type { Clock } from '../clock'
 import { sleep } from '../clock'
-import type { AdapterConfig, ConfigHolder, DocumentVersion, Manifest, ModelConfig, ServiceConfig, TeamConfig } from '../config'
-import type { EntryKind } from '../config/body'
+import type { AdapterConfig, ConfigProvider, DocumentVersion, Manifest, ModelConfig, ServiceConfig, TeamConfig } from '../config'
+import type { EntryKind } from '../config/documentBody'
 import { readHeads, readHistory, readManifest, readVersion } from '../config/queries'
-import { configInForce } from '../config/spread'
+import { configInForceCall } from '../config/messages'
 import type { Peers } from '../members'
 import type { Store, StoreError } from '../store'
 import { Err, Ok } from '../result'
@@ -30,7 +30,7 @@
   contents: Record<string, string>
 }
 
-export interface InstanceSpread {
+export interface InstanceRollout {
   instance: string
   failureDomain: string
   isInForce: boolean
@@ -41,7 +41,7 @@
 }
 
 /** A key as operators may see it: without its digest. */
-export type KeySummary = Omit<KeyRecord, 'digest'>
+export type KeySummary = Omit<CallerKeyRecord, 'digest'>
 
 export type ConfigEntry = TeamConfig | ModelConfig | AdapterConfig | ServiceConfig
 
@@ -55,7 +55,7 @@
 /** 80,000 adapters are no answer to anybody. */
 const MAX_ENTRIES = 1000
 
-const FINDERS: Record<EntryKind, (cfg: ConfigHolder, name: string) => ConfigEntry | undefined> = {
+const FINDERS: Record<EntryKind, (cfg: ConfigProvider, name: string) => ConfigEntry | undefined> = {
   team: (cfg, name) => cfg.team(name),
   model: (cfg, name) => cfg.model(name),
   adapter: (cfg, name) => cfg.adapter(name),
@@ -68,7 +68,7 @@
   document (document: string, version: number): Promise<Result<DocumentContents, OperatorError>>
   history (document: string): Promise<Result<Manifest[], OperatorError>>
   /** Where the version is in force; waits for that up to `timeoutMs`. */
-  spread (document: string, version: number, timeoutMs: number): Promise<InstanceSpread[]>
+  rollout (document: string, version: number, timeoutMs: number): Promise<InstanceRollout[]>
   keys (team: string | undefined): Promise<Result<KeySummary[], OperatorError>>
   /** Entries in force on the instance that answers; of one name, or the first ones. */
   entries (kind: EntryKind, name: string | undefined): EntryList
@@ -77,7 +77,7 @@
 
 export interface OperatorQueriesOptions {
   store: Store
-  cfg: ConfigHolder
+  cfg: ConfigProvider
   peers: Peers
   clock: Clock
 }
@@ -86,11 +86,11 @@
 
 export function createOperatorQueries (options: OperatorQueriesOptions): OperatorQueries {
   const { store, cfg, peers, clock } = options
-  const sources = { store, holder: cfg, clock }
+  const sources = { store, configProvider: cfg, clock }
 
   const manifestOf = async (document: string, version: number): Promise<Result<Manifest, OperatorError>> => {
     const unknown: OperatorError = { kind: 'unknown-version', document, version }
-    const held = cfg.held(document)?.manifest
+    const held = cfg.latestDocument(document)?.manifest
     if (held !== undefined && held.version === version) return Ok(held)
     if (version > 0) {
       const manifest = await readManifest(store, document, version)
@@ -103,8 +103,8 @@
     const head = heads.val.get(document)?.head
     return head === undefined ? Err(unknown) : Ok(head.manifest)
   }
-  const askInstance = async (id: string, failureDomain: string, document: string, version: number): Promise<InstanceSpread | undefined> => {
-    const answer = await peers.call(id, configInForce, {})
+  const askInstance = async (id: string, failureDomain: string, document: string, version: number): Promise<InstanceRollout | undefined> => {
+    const answer = await peers.call(id, configInForceCall, {})
     if (answer.err) return { instance: id, failureDomain, isInForce: false, reason: answer.val.message }
     if (!answer.val.follows.includes(document)) return undefined
     const found = answer.val.versions.find(one => one.document === document)?.version
@@ -112,7 +112,7 @@
     return { instance: id, failureDomain, isInForce: false, version: found ?? 0, reason: 'an older version is in force there' }
   }
   /** Another site's instances never take this site's overlay: waiting for them would always end as a failure. */
-  const askAll = async (document: string, version: number): Promise<InstanceSpread[]> => {
+  const askAll = async (document: string, version: number): Promise<InstanceRollout[]> => {
     const asked = await Promise.all(peers.members().map(member => askInstance(member.id, member.failureDomain, document, version)))
     return asked.filter(one => one !== undefined)
   }
@@ -125,7 +125,7 @@
       return Ok({
         documents: all.flatMap(([, { head }]) => head === undefined ? [] : [head.manifest]),
         damaged: all.filter(([, { head }]) => head === undefined).map(([document]) => document),
-        inForce: cfg.inForce().documents
+        inForce: cfg.active().documents
       })
     },
     document: async (document, version) => {
@@ -135,7 +135,7 @@
       return read.ok ? Ok({ manifest: manifest.val, contents: Object.fromEntries(read.val.contents) }) : read
     },
     history: async document => (await readHistory(store, document)).mapErr(storeError),
-    spread: async (document, version, timeoutMs) => {
+    rollout: async (document, version, timeoutMs) => {
       const startedMs = clock.monotonic()
       for (;;) {
         const found = await askAll(document, version)
@@ -144,15 +144,15 @@
       }
     },
     keys: async team => {
-      const range = await store.range(KEYS_PREFIX, { priority: 'ledger' })
+      const range = await store.range(KEY_RECORDS_PREFIX, { priority: 'ledger' })
       if (range.err) return Err(storeError(range.val))
-      const records = range.val.entries.flatMap(entry => parseJson(entry.value) as KeyRecord | undefined ?? [])
+      const records = range.val.entries.flatMap(entry => parseJson(entry.value) as CallerKeyRecord | undefined ?? [])
       return Ok(records
         .filter(record => team === undefined || record.team === team)
         .map(({ digest, ...summary }) => summary))
     },
     entries: (kind, name) => {
-      const { version, fleet } = cfg.inForce()
+      const { version, fleet } = cfg.active()
       const all: readonly ConfigEntry[] = name === undefined ? fleet[kind] : [FINDERS[kind](cfg, name) ?? []].flat()
       return { version, total: all.length, entries: all.slice(0, MAX_ENTRIES) }
     },
--- a/packages/magnoliabay/src/node/operators/routes.ts
+++ b/packages/magnoliabay/src/node/operators/routes.ts
@@ -2,9 +2,9 @@
 import type { ServerResponse } from 'node:http'
 import * as v from 'valibot'
 import { isDocumentName } from '../config'
-import { ENTRY_KINDS } from '../config/body'
+import { ENTRY_KINDS } from '../config/documentBody'
 import { sendJson } from '../entry/respond'
-import type { Report } from '../report'
+import type { SloTracker } from '../report'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { parseJson } from '../utils'
@@ -12,7 +12,7 @@
 import type { OperatorCommands, OperatorError } from './commands'
 import { SUBJECT_KINDS } from './decisionLog'
 import { isSubjectKind } from './explain'
-import type { Explain } from './explain'
+import type { Explainer } from './explain'
 import type { OperatorQueries } from './queries'
 
 const STATUS_OF_ERROR: Record<OperatorError['kind'], number> = {
@@ -54,8 +54,8 @@
   commands: OperatorCommands
   queries: OperatorQueries
   status: () => object
-  explain: Explain['explain']
-  report: Pick<Report, 'read'>
+  explain: Explainer['explain']
+  report: Pick<SloTracker, 'collect'>
 }
 
 export function operatorRoutes ({ commands, queries, status, explain, report }: RouteOptions): OperatorRoute[] {
@@ -80,7 +80,7 @@
       path: '/operator/config/spread',
       handle: async (req, res) => {
         const timeoutMs = Math.min(MAX_SPREAD_TIMEOUT_MS, Number(req.query.timeoutMs ?? DEFAULT_SPREAD_TIMEOUT_MS))
-        sendJson(res, 200, await queries.spread(documentOf(req), versionOf(req), timeoutMs))
+        sendJson(res, 200, await queries.rollout(documentOf(req), versionOf(req), timeoutMs))
       }
     },
     {
@@ -107,7 +107,7 @@
         reply(res, Err({ kind: 'bad-request', message: `entries are of one of ${ENTRY_KINDS.join(', ')}` }))
       }
     },
-    { method: 'GET', path: '/operator/report', handle: async (_req, res) => sendJson(res, 200, await report.read()) },
+    { method: 'GET', path: '/operator/report', handle: async (_req, res) => sendJson(res, 200, await report.collect()) },
     { method: 'GET', path: '/operator/audit', handle: async (_req, res) => reply(res, await queries.audit()) },
     { method: 'GET', path: '/operator/status', handle: (_req, res) => sendJson(res, 200, status()) }
   ]
--- a/packages/magnoliabay/src/node/operators/status.ts
+++ b/packages/magnoliabay/src/node/operators/status.ts
@@ -1,6 +1,6 @@
 /** What `status` shows: this instance's view of the fleet. */
 import type { ReplicaEntry } from '../cells'
-import type { ConfigHolder, DocumentVersion } from '../config'
+import type { ConfigProvider, DocumentVersion } from '../config'
 import type { MemberRecord, Peers } from '../members'
 import type { StoreCallReport } from '../store'
 import type { Clock } from '../clock'
@@ -34,15 +34,15 @@
   store: StoreStatus
 }
 
-export interface StoreWatch {
-  note (call: StoreCallReport): void
-  read (): StoreStatus
+export interface StoreHealthMonitor {
+  recordCall (call: StoreCallReport): void
+  status (): StoreStatus
 }
 
 /** Calls with these outcomes tell that the service itself doesn't answer. */
 const AWAY: ReadonlySet<string> = new Set(['unavailable', 'unknown'])
 
-export function createStoreWatch (clock: Clock, logger: Logger): StoreWatch {
+export function createStoreHealthMonitor (clock: Clock, logger: Logger): StoreHealthMonitor {
   let answeredMs: number | undefined
   let lastOutcome: string | undefined
   let awaySinceMs: number | undefined
@@ -58,12 +58,12 @@
     awaySinceMs = undefined
   }
   return {
-    note: ({ outcome }) => {
+    recordCall: ({ outcome }) => {
       lastOutcome = outcome
       logChange(outcome)
       if (outcome === 'ok') answeredMs = clock.monotonic()
     },
-    read: () => ({
+    status: () => ({
       answeredSecondsAgo: answeredMs === undefined ? undefined : Math.round((clock.monotonic() - answeredMs) / 1000),
       lastOutcome
     })
@@ -72,9 +72,9 @@
 
 export interface StatusOptions {
   peers: Peers
-  cfg: ConfigHolder
+  cfg: ConfigProvider
   replicas: { all (): readonly ReplicaEntry[] }
-  store: StoreWatch
+  store: StoreHealthMonitor
 }
 
 export function createStatus (options: StatusOptions): () => FleetStatus {
@@ -84,10 +84,10 @@
     members: peers.members().map(({ id, incarnation, failureDomain, entryAddress, operatorAddress, leaving }) => ({
       id, incarnation, failureDomain, entryAddress, operatorAddress, leaving, isConnected: peers.isConnected(id)
     })),
-    config: cfg.inForce().version,
-    documents: cfg.inForce().documents,
+    config: cfg.active().version,
+    documents: cfg.active().documents,
     replicas: options.replicas.all(),
-    teams: cfg.inForce().fleet.team.map(({ name, tokensPerSecond, burstTokens }) => ({ name, tokensPerSecond, burstTokens })),
-    store: options.store.read()
+    teams: cfg.active().fleet.team.map(({ name, tokensPerSecond, burstTokens }) => ({ name, tokensPerSecond, burstTokens })),
+    store: options.store.status()
   })
 }
--- a/packages/magnoliabay/src/node/outcomes/trail.ts
+++ b/packages/magnoliabay/src/node/outcomes/executionTracker.ts
@@ -4,25 +4,25 @@
  */
 import { createMachine, interpret, state, transition } from 'robot3'
 import type { Failure } from '../failures'
-import type { Outcome } from './outcome'
+import type { RequestOutcome } from './outcome'
 
 /**
  * `untouched`: nothing can have run. `sent`: an attempt is out. `tainted`: an attempt may have run, and
  * nothing that happens elsewhere afterwards can take that back.
  */
-export type TrailState = 'untouched' | 'sent' | 'tainted'
+export type ExecutionState = 'untouched' | 'sent' | 'tainted'
 
 /**
  * `send`: an attempt goes out. `disclaim`: it certainly didn't run (never sent, or the backend server said so).
  * `lose`: it ended in any other way.
  */
-export type TrailEvent = 'send' | 'disclaim' | 'lose'
+export type ExecutionEvent = 'send' | 'disclaim' | 'lose'
 
-export interface Trail {
-  note (event: TrailEvent): void
-  state (): TrailState
+export interface ExecutionTracker {
+  record (event: ExecutionEvent): void
+  state (): ExecutionState
   /** The failure as it may be told: *not run* only while that is true of every attempt. */
-  conclude (failure: Failure): Outcome
+  conclude (failure: Failure): RequestOutcome
 }
 
 const machine = createMachine('untouched', {
@@ -34,11 +34,11 @@
   tainted: state()
 })
 
-export function createTrail (): Trail {
+export function createExecutionTracker (): ExecutionTracker {
   const service = interpret(machine, () => {})
-  const current = (): TrailState => service.machine.current as TrailState
+  const current = (): ExecutionState => service.machine.current as ExecutionState
   return {
-    note: event => service.send(event),
+    record: event => service.send(event),
     state: current,
     conclude: failure => {
       const notRun = failure.notRun && current() === 'untouched'
--- a/packages/magnoliabay/src/node/outcomes/index.ts
+++ b/packages/magnoliabay/src/node/outcomes/index.ts
@@ -1,7 +1,7 @@
 /** How requests end: one type, and the one account of whether anything may have run. */
-export { createTrail } from './trail'
-export type { Trail } from './trail'
-export type { Outcome } from './outcome'
+export { createExecutionTracker } from './executionTracker'
+export type { ExecutionTracker } from './executionTracker'
+export type { RequestOutcome } from './outcome'
 export { createRetryBudget } from './retryBudget'
 export type { RetryBudget } from './retryBudget'
 export { createSuspects, fingerprintOf } from './suspects'
--- a/packages/magnoliabay/src/node/outcomes/retryBudget.ts
+++ b/packages/magnoliabay/src/node/outcomes/retryBudget.ts
@@ -5,33 +5,33 @@
 
 export interface RetryBudgetOptions {
   /** Retries allowed for each first attempt. @default 0.1 */
-  share?: number
+  retriesPerRequest?: number
   /** Retries allowed at once after a calm time, so that a rarely used fleet can retry at all; asked anew each time. @default 10 */
-  reserve?: number | (() => number)
+  burst?: number | (() => number)
 }
 
 export interface RetryBudget {
-  noteFirstAttempt (): void
+  recordFirstAttempt (): void
   /** Takes one retry, or says that there is none left. */
-  take (): boolean
-  left (): number
+  tryTake (): boolean
+  remaining (): number
 }
 
 const SHARE = 0.1
 const RESERVE = 10
 
 export function createRetryBudget (options: RetryBudgetOptions = {}): RetryBudget {
-  const share = options.share ?? SHARE
-  const { reserve = RESERVE } = options
+  const share = options.retriesPerRequest ?? SHARE
+  const { burst: reserve = RESERVE } = options
   const most = (): number => typeof reserve === 'number' ? reserve : reserve()
   let left = most()
   return {
-    noteFirstAttempt: () => { left = Math.min(most(), left + share) },
-    take: () => {
+    recordFirstAttempt: () => { left = Math.min(most(), left + share) },
+    tryTake: () => {
       if (left < 1) return false
       left -= 1
       return true
     },
-    left: () => left
+    remaining: () => left
   }
 }
--- a/packages/magnoliabay/src/node/outcomes/suspects.ts
+++ b/packages/magnoliabay/src/node/outcomes/suspects.ts
@@ -8,21 +8,21 @@
 import { definePeerNotice } from '../members'
 import type { Peers } from '../members'
 import type { CrashCheck } from './crashCheck'
-import { createLane } from './lane'
+import { createLane } from './mutex'
 
 /** `suspect`: was there when one engine died; run it apart. `refused`: there twice, never run it again. */
-export type Verdict = 'clear' | 'suspect' | 'refused'
+export type SuspectAssessment = 'clear' | 'suspect' | 'refused'
 
 export interface Suspects {
-  verdict (fingerprint: string): Verdict
+  assess (fingerprint: string): SuspectAssessment
   /** Whether the engine's process died, asked after a connection to it broke. */
-  hasDied: CrashCheck
+  hasCrashed: CrashCheck
   /** The request was running when an engine died. `crashId` is unique for each run that ended so. */
-  noteCrash (fingerprint: string, crashId: string): void
+  recordCrash (fingerprint: string, crashId: string): void
   /** It ran to its end: what killed the engine was another. */
   clear (fingerprint: string): void
   /** Waits for the lane in which suspects run one at a time; call what it resolves to when the run has ended. */
-  enterLane (signal: AbortSignal): Promise<() => void>
+  acquireIsolation (signal: AbortSignal): Promise<() => void>
 }
 
 /** Crashes seen with the request. Taken as a set, so that a doubled or late notice counts once. */
@@ -38,13 +38,13 @@
   peers: Pick<Peers, 'listen' | 'notifyAll'>
   clock: Clock
   logger: Logger
-  hasDied: CrashCheck
+  hasCrashed: CrashCheck
   /** How long a crash is remembered, milliseconds. @default 600000 */
-  holdMs?: number
+  retentionMs?: number
   /** Fingerprints remembered at most; the oldest goes first. @default 10000 */
-  maxHeld?: number
+  maxFingerprints?: number
   /** Crashes after which a request is refused. @default 2 */
-  crashesToRefuse?: number
+  refuseAfterCrashes?: number
 }
 
 const HOLD_MS = 600_000
@@ -63,9 +63,9 @@
 
 export function createSuspects (options: SuspectsOptions): Suspects {
   const { peers, clock, logger } = options
-  const holdMs = options.holdMs ?? HOLD_MS
-  const maxHeld = options.maxHeld ?? MAX_HELD
-  const crashesToRefuse = options.crashesToRefuse ?? CRASHES_TO_REFUSE
+  const holdMs = options.retentionMs ?? HOLD_MS
+  const maxHeld = options.maxFingerprints ?? MAX_HELD
+  const crashesToRefuse = options.refuseAfterCrashes ?? CRASHES_TO_REFUSE
   const held = new Map<string, Held>()
   const lane = createLane()
 
@@ -92,14 +92,14 @@
   peers.listen(suspectCleared, notice => drop(notice.fingerprint))
 
   return {
-    hasDied: options.hasDied,
-    enterLane: lane.enter,
-    verdict: fingerprint => {
+    hasCrashed: options.hasCrashed,
+    acquireIsolation: lane.enter,
+    assess: fingerprint => {
       const found = find(fingerprint)
       if (found === undefined) return 'clear'
       return found.crashIds.size >= crashesToRefuse ? 'refused' : 'suspect'
     },
-    noteCrash: (fingerprint, crashId) => {
+    recordCrash: (fingerprint, crashId) => {
       const crashIds = [...take(fingerprint, [crashId]).crashIds]
       peers.notifyAll(suspectNoted, { fingerprint, crashIds })
       logger.warn('suspect-noted', { fingerprint, crashes: crashIds.length, reason: 'an engine died while it ran this request' })
--- a/packages/magnoliabay/src/node/platform/__tests__/pool.spec.ts
+++ b/packages/magnoliabay/src/node/platform/__tests__/pool.spec.ts
@@ -6,7 +6,7 @@
 
 /** In a process of its own: in this one other tests have loaded the library whole. */
 const SCRIPT = `
-import { createPool } from './packages/magnoliabay/src/node/platform/pool'
+import { createPool } from './packages/magnoliabay/src/node/platform/httpPool'
 const run = async () => {
   const pool = createPool(process.env.ADDRESS, { connections: 1 })
   const res = await pool.request({ method: 'GET', path: '/x' })
--- a/packages/magnoliabay/src/node/platform/configDocument.ts
+++ b/packages/magnoliabay/src/node/platform/configDocument.ts
@@ -106,8 +106,8 @@
     prefix: wire.prefix,
     kind: KINDS[wire['route-kind']] ?? 'non-idempotent',
     timeoutMs: wire['timeout-ms'],
-    objectiveMs: wire['target-latency-ms'],
-    eventGapMs: wire['gap-target-ms'],
+    latencyObjectiveMs: wire['target-latency-ms'],
+    maxEventGapMs: wire['gap-target-ms'],
     priority: wire.priority,
     maxAttempts: wire['max-attempts'],
     isAnonymous: wire.anonymous,
@@ -122,14 +122,14 @@
     name: wire.name,
     connectionLimit: wire['connection-limit'],
     coldStart: wire['cold-start-s'] > 0 && wire['cold-per-s'] > 0
-      ? { lastsMs: wire['cold-start-s'] * MS_PER_SECOND, requestsPerSecond: wire['cold-per-s'] }
+      ? { durationMs: wire['cold-start-s'] * MS_PER_SECOND, requestsPerSecond: wire['cold-per-s'] }
       : undefined,
     engine: engine == null
       ? undefined
       : {
           slots: engine.slots,
           kvTokens: engine['kv-cache-tokens'],
-          weightsMb: engine['weights-mb'],
+          weightMemoryMb: engine['weights-mb'],
           adapterCapacity: engine['adapter-capacity'],
           storeLoadsPerSecond: engine['loads-per-s'],
           models: new Map(engine.models.map(model => [model.name, toModel(model)]))
@@ -160,7 +160,7 @@
     keys: wire['api-keys'],
     priority: wire.priority ?? undefined,
     unit: wire.unit === 'token_streaming' ? 'tokens' : 'requests',
-    plainTokens: wire['plain-tokens'],
+    defaultTokens: wire['plain-tokens'],
     rate: wire['rate-per-s'],
     burst: wire.burst
   }
--- a/packages/magnoliabay/src/node/platform/discovery.ts
+++ b/packages/magnoliabay/src/node/platform/discovery.ts
@@ -9,12 +9,12 @@
 const MAX_ADDRESSES = 64
 
 export interface DiscoveryOptions {
-  readiness: string
-  resolution: string
+  readinessAddress: string
+  resolutionAddress: string
   isReady: () => boolean
   /** Addresses that callers from a failure domain should use, best first. */
   addressesFor: (failureDomain: string | undefined) => readonly string[]
-  maxResolutionMs: number
+  maxResolutionTtlMs: number
 }
 
 export interface Discovery {
@@ -29,7 +29,7 @@
 
 export function createDiscovery (options: DiscoveryOptions): Discovery {
   const { isReady, addressesFor } = options
-  const ttlSeconds = Math.min(RESOLUTION_TTL_S, options.maxResolutionMs / 1000)
+  const ttlSeconds = Math.min(RESOLUTION_TTL_S, options.maxResolutionTtlMs / 1000)
   const readinessApp = polka().get('/-/readiness', (_req, res) => answerJson(res, isReady() ? 200 : 503, {}))
   const resolutionApp = polka().get('/-/resolution', (req, res) => {
     const addresses = addressesFor(req.query.zone as string | undefined).slice(0, MAX_ADDRESSES)
@@ -40,7 +40,7 @@
   const resolution = createServer(resolutionApp.handler as RequestListener)
   return {
     start: async () => {
-      await Promise.all([listenOn(readiness, options.readiness), listenOn(resolution, options.resolution)])
+      await Promise.all([listenOn(readiness, options.readinessAddress), listenOn(resolution, options.resolutionAddress)])
     },
     close: () => {
       [readiness, resolution].forEach(server => {
--- a/packages/magnoliabay/src/node/platform/engineCalls.ts
+++ b/packages/magnoliabay/src/node/platform/engineCalls.ts
@@ -5,7 +5,7 @@
 import type { BackendServer } from '../serving/types'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { createPool } from './pool'
+import { createPool } from './httpPool'
 import { messageOf, parseJson } from '../utils'
 
 /** An engine answers within milliseconds; one that does not is out of reach, or its answer is lost. */
@@ -57,18 +57,18 @@
     }
   }
   return {
-    report: async server => {
+    fetchReport: async server => {
       const res = await call(server, 'GET', '/-/report')
       if (res.err) return res
       if (res.val.status !== 200) return Err(`status ${res.val.status}`)
       return Ok(toReport(res.val.body as WireReport))
     },
-    order: async (server, order) => {
+    sendOrder: async (server, order) => {
       const res = await call(server, 'POST', '/-/order', toWire(order))
       if (res.err) return 'unanswered'
       return OUTCOMES[res.val.status] ?? 'refused'
     },
-    forget: address => {
+    closeConnections: address => {
       pools.get(address)?.destroy()
       pools.delete(address)
     }
@@ -89,12 +89,12 @@
 function toReport (wire: WireReport): EngineReport {
   return {
     bornMs: wire.born,
-    isBusy: wire.busy ?? false,
-    orders: wire.sequence ?? 0,
+    isOrderPending: wire.busy ?? false,
+    acceptedOrders: wire.sequence ?? 0,
     waiting: wire.waiting ?? 0,
     running: wire.running ?? 0,
     models: (wire.models ?? []).map(model => ({ name: model.name, version: model.version ?? 0, adapters: model.adapters ?? [] })),
-    adaptersOnTheWay: (wire.pending ?? []).map(name => name.split('@')[0]!),
+    loadingAdapters: (wire.pending ?? []).map(name => name.split('@')[0]!),
     copies: { memory: wire.available?.['in-memory'] ?? [], disk: wire.available?.['on-disk'] ?? [] }
   }
 }
--- a/packages/magnoliabay/src/node/platform/index.ts
+++ b/packages/magnoliabay/src/node/platform/index.ts
@@ -1,19 +1,19 @@
 /** The adapter to the users' platform: names, formats and calls, and nothing that decides. */
 import { CONFIG_KEY, EVACUATIONS_PREFIX, OPERATOR_PREFIX, decodeConfig } from './configDocument'
-import { decodeAnswer, decodeCaller, forwardedHeaders, returnedHeaders } from './requestHeaders'
+import { decodeResponseHead, decodeCallerRequest, toBackendHeaders, toCallerHeaders } from './requestHeaders'
 import { SERVERS_PREFIX, decodeServer } from './serverEntry'
-import type { ServingWire } from '../serving/wire'
+import type { ServingProtocol } from '../serving/servingProtocol'
 
 export { createDiscovery } from './discovery'
 export { createEngineCalls } from './engineCalls'
-export { createKvStore } from './kvStore'
-export { SETTINGS_VARIABLE, readPlatformSettings } from './settings'
+export { createMetadataStore } from './metadataStore'
+export { SETTINGS_PATH_VARIABLE, readPlatformSettings } from './settings'
 
-export const platformWire: ServingWire = {
-  decodeCaller,
-  forwardedHeaders,
-  decodeAnswer,
-  returnedHeaders,
+export const platformProtocol: ServingProtocol = {
+  decodeCallerRequest,
+  toBackendHeaders,
+  decodeResponseHead,
+  toCallerHeaders,
   decodeConfig,
   decodeServer,
   serverIdOf: key => key.slice(SERVERS_PREFIX.length),
