--- a/packages/magnoliabay/src/node/platform/kvStore.ts
+++ b/packages/magnoliabay/src/node/platform/metadataStore.ts
@@ -8,11 +8,11 @@
 import type { Logger } from '../logger'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { eraOfCompare, eraOfLease, eraOfRevision, toLeaseId, toRevision, toStoredLease, toStoredRevision } from '../store/eras'
-import { runFeeds } from '../store/feeds'
-import { createReach } from '../store/reach'
-import type { Compare, KeyValue, RangeResult, Reach, Store, StoreError, StoreResult, Transaction, TransactionResult, WatchCall, WatchEnd, WatchEvent, WatchFeed, WatchHandlers } from '../store'
-import { createPool } from './pool'
+import { eraOfCompare, eraOfLease, eraOfRevision, toLeaseId, toRevision, toStoredLeaseId, toStoredRevision } from '../store/eras'
+import { runPrefixWatches } from '../store/prefixWatches'
+import { createStoreConnectivity } from '../store/connectivity'
+import type { Compare, KeyValue, RangeResult, StoreConnectivity, Store, StoreError, StoreResult, Transaction, TransactionResult, WatchRequest, WatchOutcome, WatchEvent, PrefixWatch, WatchHandlers } from '../store'
+import { createPool } from './httpPool'
 import { addCount, messageOf, parseJson } from '../utils'
 
 /** A call that nobody answered for this long counts as lost; the store answers in milliseconds, slow ones in tenths of a second. */
@@ -21,18 +21,18 @@
 /** How often it is told what calls were made for: each is paid for. */
 const TELL_CALLS_PERIOD_MS = 10_000
 
-export interface KvStoreOptions {
+export interface MetadataStoreOptions {
   /** `ip:port` */
   address: string
   clock: Clock
   logger: Logger
 }
 
-export interface KvStore extends Store, Pick<Reach, 'lastContactMs' | 'steadySinceMs'> {
+export interface MetadataStore extends Store, Pick<StoreConnectivity, 'lastContactMs' | 'reachableSinceMs'> {
   /** Rises whenever the store has gone on from an older copy of itself; 0 while none is known. */
   era (): number
   /** Begins to watch; prefixes are to be registered before, each within one of the feeds. */
-  start (signal: AbortSignal, feeds: readonly WatchFeed[]): void
+  start (signal: AbortSignal, feeds: readonly PrefixWatch[]): void
   close (): Promise<void>
 }
 
@@ -102,11 +102,11 @@
   return { key, revision: toStoredRevision(equals) }
 }
 
-export function createKvStore (options: KvStoreOptions): KvStore {
+export function createMetadataStore (options: MetadataStoreOptions): MetadataStore {
   const { address, clock, logger } = options
   const pool = createPool(`http://${address}`, { connections: MAX_CONNECTIONS, pipelining: 1, connect: { timeout: CALL_TIMEOUT_MS }, headersTimeout: 0, bodyTimeout: 0 })
   const subscribers: Subscriber[] = []
-  const reach = createReach({ address, clock, logger })
+  const reach = createStoreConnectivity({ address, clock, logger })
   let era = 0
   const noteEra = (answered: number): void => {
     if (answered <= era) return
@@ -115,7 +115,7 @@
     // The first one that a process hears of is no news.
     if (before === 0) return
     logger.warn('store-set-back', { era, before, outcome: 'everything is read anew' })
-    reach.noteSetBack()
+    reach.recordRollback()
   }
   /** Since they were last told, by name. */
   const calls = new Map<string, number>()
@@ -143,7 +143,7 @@
       const answeredEra = decodeEra(res.headers['store-era'])
       noteEra(answeredEra)
       const isRefused = res.statusCode === 503 || res.statusCode === 429
-      reach.note(!isRefused, name, `status ${res.statusCode}`)
+      reach.recordCall(!isRefused, name, `status ${res.statusCode}`)
       if (isRefused) return Err({ kind: 'unavailable', message: `The store answered ${res.statusCode}.` })
       if (answeredEra < era) return Err({ kind: 'unknown', message: `${name}: answered in an era that has ended` })
       return Ok({ status: res.statusCode, body: parseJson(text), era: answeredEra })
@@ -151,7 +151,7 @@
       // Ended from here: that says nothing of the store.
       if (signal?.aborted) return Err({ kind: 'given-up', message: `${name}: not wanted any more` })
       const reason = abort.signal.aborted ? 'no answer in time' : messageOf(err)
-      reach.note(false, name, reason)
+      reach.recordCall(false, name, reason)
       return Err({ kind: 'unknown', message: `${name}: ${reason}` })
     } finally {
       cancel()
@@ -199,7 +199,7 @@
     const res = await call('POST', '/-/kv-txn', {
       body: {
         precondition: preconditions,
-        write: writes.flatMap(op => op.kind === 'put' ? [{ key: op.key, value: encode(op.value), ...(op.leaseId === undefined ? {} : { lease: toStoredLease(op.leaseId) }) }] : []),
+        write: writes.flatMap(op => op.kind === 'put' ? [{ key: op.key, value: encode(op.value), ...(op.leaseId === undefined ? {} : { lease: toStoredLeaseId(op.leaseId) }) }] : []),
         remove: writes.flatMap(op => op.kind === 'delete' ? [op.key] : [])
       }
     })
@@ -217,7 +217,7 @@
   }
   const renewLease = async (leaseId: string): Promise<Result<number, StoreError>> => {
     if (isLeaseGone(leaseId)) return Err(leaseGone)
-    const res = await call('POST', `/-/kv-keep/${toStoredLease(leaseId)}`)
+    const res = await call('POST', `/-/kv-keep/${toStoredLeaseId(leaseId)}`)
     if (res.err) return res
     if (res.val.status === 404) return Err({ kind: 'lease-lost', message: `Lease ${leaseId} has ended.` })
     if (res.val.era !== eraOfLease(leaseId)) return Err(leaseGone)
@@ -225,12 +225,12 @@
   }
   const revokeLease = async (leaseId: string): Promise<Result<void, StoreError>> => {
     if (isLeaseGone(leaseId)) return Ok(undefined)
-    const res = await call('DELETE', `/-/kv-lease-end/${toStoredLease(leaseId)}`)
+    const res = await call('DELETE', `/-/kv-lease-end/${toStoredLeaseId(leaseId)}`)
     return res.err ? res : Ok(undefined)
   }
 
   /** Reads all prefixes of a feed in one; returns the revision from which to watch, or undefined where the read failed. */
-  const readAll = async (feed: WatchFeed): Promise<number | undefined> => {
+  const readAll = async (feed: PrefixWatch): Promise<number | undefined> => {
     const read = await range(feed.prefix)
     if (read.err) return undefined
     const { entries, revision } = read.val
@@ -241,7 +241,7 @@
   }
   const deliver = (items: readonly WireItem[], answeredEra: number): void => items.forEach(item =>
     subscribers.filter(({ prefix }) => item.key.startsWith(prefix)).forEach(({ handlers }) => handlers.onEvent(toEvent(item, answeredEra))))
-  const watch = async (feed: WatchFeed, { after, waitMs, timeoutMs, signal }: WatchCall): Promise<WatchEnd> => {
+  const watch = async (feed: PrefixWatch, { after, waitMs, timeoutMs, signal }: WatchRequest): Promise<WatchOutcome> => {
     // The new history may have passed that revision: its changes below would never be told.
     if (eraOfRevision(after) < era) return { kind: 'history-gone' }
     const res = await call('GET', `/-/kv-watch?prefix=${encodeURIComponent(feed.prefix)}&after=${toStoredRevision(after)}&wait-ms=${waitMs}`, { timeoutMs, signal })
@@ -249,7 +249,7 @@
     if (res.val.status !== 200 || res.val.era !== eraOfRevision(after)) return { kind: 'history-gone' }
     const { events, at } = res.val.body as { events: WireItem[], at: number }
     deliver(events, res.val.era)
-    return { kind: 'answered', at: toRevision(res.val.era, at), hadEvents: events.length > 0 }
+    return { kind: 'answered', revision: toRevision(res.val.era, at), hadEvents: events.length > 0 }
   }
 
   return {
@@ -262,9 +262,9 @@
     watch: (prefix, handlers) => { subscribers.push({ prefix, handlers }) },
     era: () => era,
     lastContactMs: reach.lastContactMs,
-    steadySinceMs: reach.steadySinceMs,
+    reachableSinceMs: reach.reachableSinceMs,
     start: (signal, feeds) => {
-      runFeeds({ calls: { readAll, watch }, reach, clock, logger }, feeds, signal)
+      runPrefixWatches({ client: { readAll, watch }, connectivity: reach, clock, logger }, feeds, signal)
       repeat(clock, TELL_CALLS_PERIOD_MS, signal, tellCalls)
     },
     close: () => pool.destroy()
--- a/packages/magnoliabay/src/node/platform/requestHeaders.ts
+++ b/packages/magnoliabay/src/node/platform/requestHeaders.ts
@@ -1,9 +1,9 @@
 /** Headers of a request and an answer: what callers may say, and what is the system's to say. */
 import type { IncomingHttpHeaders } from 'node:http'
-import type { AnswerMarks } from '../serving/attempt'
-import type { AnswerHead } from '../serving/exchange'
+import type { ResponseMetadata } from '../serving/attempt'
+import type { ResponseHead } from '../serving/exchange'
 import type { CallerRequest } from '../serving/types'
-import type { ForwardedWith } from '../serving/wire'
+import type { ForwardedMetadata } from '../serving/servingProtocol'
 
 const ATTEMPT_ID = 'x-magnoliabay-attempt-id'
 const DEADLINE_MS = 'x-magnoliabay-deadline-ms'
@@ -49,7 +49,7 @@
 }
 
 /** What the caller asks for. */
-export function decodeCaller (headers: IncomingHttpHeaders): CallerRequest {
+export function decodeCallerRequest (headers: IncomingHttpHeaders): CallerRequest {
   const [model, adapter] = (textOf(headers['x-magnoliabay-model']) ?? '').split('/')
   const parts = textOf(headers['x-magnoliabay-prompt-prefix'])
   return {
@@ -64,7 +64,7 @@
 }
 
 /** Raw headers, name and value in turn, as the backend server gets them. */
-export function forwardedHeaders (rawHeaders: readonly string[], own: ForwardedWith): string[] {
+export function toBackendHeaders (rawHeaders: readonly string[], own: ForwardedMetadata): string[] {
   const pairs = pairsOf(rawHeaders)
   const nominated = new Set(pairs.filter(([name]) => name.toLowerCase() === 'connection').flatMap(([, value]) => value.toLowerCase().split(',').map(part => part.trim())))
   const kept = pairs
@@ -91,12 +91,12 @@
 }
 
 /** Headers of a backend server's answer, as the caller gets them. */
-export function returnedHeaders (rawHeaders: readonly string[]): string[] {
+export function toCallerHeaders (rawHeaders: readonly string[]): string[] {
   return pairsOf(rawHeaders).filter(([name]) => !NOT_RETURNED.has(name.toLowerCase())).flat()
 }
 
 /** What an answer's head says beyond its status. */
-export function decodeAnswer ({ status, headers }: AnswerHead): AnswerMarks {
+export function decodeResponseHead ({ status, headers }: ResponseHead): ResponseMetadata {
   return {
     attemptId: textOf(headers[ATTEMPT_ID]),
     isNotRun: headers[NOT_EXECUTED] !== undefined || (status === 421 && headers['x-magnoliabay-server-signature'] === undefined),
--- a/packages/magnoliabay/src/node/platform/settings.ts
+++ b/packages/magnoliabay/src/node/platform/settings.ts
@@ -6,7 +6,7 @@
 import { messageOf } from '../utils'
 
 /** Environment variable that holds the path of the settings file. */
-export const SETTINGS_VARIABLE = 'MAGNOLIABAY_CONFIG'
+export const SETTINGS_PATH_VARIABLE = 'MAGNOLIABAY_CONFIG'
 
 const wireSettings = v.object({
   'node-name': v.string(),
@@ -55,20 +55,20 @@
   /** The whole system starts for the first time. */
   isFirstStart: boolean
   /** Milliseconds between being asked to stop and being killed. */
-  graceMs: number
+  gracePeriodMs: number
   /** Two instances that give orders must be this far apart, milliseconds. */
   orderLeaseMs: number
   retryBudget: { ratio: number, slack: number }
   /** Rates and bursts of teams are counted over this window, milliseconds. */
   allowanceWindowMs: number
   /** What a team may get beyond its limit, since instances count apart: part of the limit, and units besides. */
-  allowanceTolerance: { part: number, units: number }
+  allowanceTolerance: { ratio: number, slack: number }
   /** What a cold server may get in a second: part of the rate that it bears, and requests besides. */
-  coldTolerance: { part: number, requests: number }
+  coldRateTolerance: { ratio: number, slack: number }
   /** Loads from the weight store are counted in this window, milliseconds. */
-  loadWindowMs: number
+  storeLoadWindowMs: number
   /** Longest time that callers keep a list of addresses, milliseconds. */
-  maxResolutionMs: number
+  maxResolutionTtlMs: number
   store: { address: string, minLeaseMs: number }
 }
 
@@ -112,14 +112,14 @@
     },
     seeds: wire['seed-nodes'].filter(seed => seed !== listen['control-plane']),
     isFirstStart: wire.bootstrap,
-    graceMs: bounds['grace-period-s'] * 1000,
+    gracePeriodMs: bounds['grace-period-s'] * 1000,
     orderLeaseMs: bounds['lease-ms'],
     retryBudget: { ratio: bounds['retry-budget-ratio'], slack: bounds['retry-budget-slack'] },
     allowanceWindowMs: bounds['quota-window-s'] * 1000,
-    allowanceTolerance: { part: bounds['quota-overshoot'], units: bounds['quota-slack'] },
-    coldTolerance: { part: bounds['cold-overshoot'], requests: bounds['cold-slack'] },
-    loadWindowMs: bounds['ceiling-window-s'] * 1000,
-    maxResolutionMs: bounds.ttl_max_s * 1000,
+    allowanceTolerance: { ratio: bounds['quota-overshoot'], slack: bounds['quota-slack'] },
+    coldRateTolerance: { ratio: bounds['cold-overshoot'], slack: bounds['cold-slack'] },
+    storeLoadWindowMs: bounds['ceiling-window-s'] * 1000,
+    maxResolutionTtlMs: bounds.ttl_max_s * 1000,
     store: {
       address: platform.address,
       minLeaseMs: platform['ttl-min-ms']
--- a/packages/magnoliabay/src/node/queue/capacity.ts
+++ b/packages/magnoliabay/src/node/queue/capacity.ts
@@ -4,7 +4,7 @@
  * An engine runs a number of requests at full pace. An instance counts on what the engine's load report
  * leaves free of that, and always on an equal part of it, since reports lag and everybody must get in.
  */
-import type { Capacity } from './queue'
+import type { EngineCapacity } from './queue'
 
 export interface CapacityOptions {
   /** Engines that have the model loaded. */
@@ -14,23 +14,23 @@
   /** Requests of this instance at the engine. */
   inFlight: (engine: string) => number
   /** Instances that send to the engines. */
-  instances: () => number
+  instanceCount: () => number
   /** Requests that an engine runs at full pace. */
   slotsPerEngine: number
 }
 
-export function createCapacity (options: CapacityOptions): Capacity {
+export function createEngineCapacity (options: CapacityOptions): EngineCapacity {
   const { slotsPerEngine } = options
 
   const roomAt = (engine: string): number => {
     const others = Math.max(0, options.loadOf(engine) - options.inFlight(engine))
-    const equalPart = Math.ceil(slotsPerEngine / Math.max(1, options.instances()))
+    const equalPart = Math.ceil(slotsPerEngine / Math.max(1, options.instanceCount()))
     return Math.max(equalPart, slotsPerEngine - others)
   }
   const sum = (engines: readonly string[], of: (engine: string) => number): number =>
     engines.reduce((total, engine) => total + of(engine), 0)
   return {
-    mayStart: (model, started) => {
+    hasRoomFor: (model, started) => {
       const engines = options.enginesOf(model)
       // While the model is being loaded, as many go on to wait for it as one engine will take.
       if (engines.length === 0) return started < slotsPerEngine
--- a/packages/magnoliabay/src/node/queue/index.ts
+++ b/packages/magnoliabay/src/node/queue/index.ts
@@ -1,7 +1,7 @@
 /** Where requests wait for their turn, fair across teams. */
-export { createCapacity } from './capacity'
+export { createEngineCapacity } from './capacity'
 export type { CapacityOptions } from './capacity'
-export { ENGINE_PRIORITIES, CLASS_HEADER, workClassOf } from './classes'
-export type { WorkClass } from './classes'
-export { createQueue } from './queue'
-export type { Capacity, Queue, QueueOptions, TeamWaiting, Turn, TurnRequest } from './queue'
+export { ENGINE_PRIORITY_BY_CLASS, WORK_CLASS_HEADER, parseWorkClass } from './workClass'
+export type { WorkClass } from './workClass'
+export { createRequestQueue } from './queue'
+export type { EngineCapacity, RequestQueue, QueueOptions, TeamBacklog, QueuePermit, QueueRequest } from './queue'
--- a/packages/magnoliabay/src/node/queue/queue.ts
+++ b/packages/magnoliabay/src/node/queue/queue.ts
@@ -6,43 +6,43 @@
  * true to say that nothing ran.
  */
 import type { CancelTimer, Clock } from '../clock'
-import { refusal } from '../failures'
+import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import type { Logger } from '../logger'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { CLASS_WEIGHTS, WORK_CLASSES } from './classes'
-import type { WorkClass } from './classes'
-import { createCounters } from './counters'
-import { createLine } from './line'
-import type { Line, Waiter } from './line'
-import { createPace } from './pace'
-import type { Pace } from './pace'
-
-export interface TurnRequest {
+import { CLASS_WEIGHTS, WORK_CLASSES } from './workClass'
+import type { WorkClass } from './workClass'
+import { createCounters } from './tokenCounters'
+import { createLine } from './waitingRequests'
+import type { Line, Waiter } from './waitingRequests'
+import { createPace } from './throughput'
+import type { Pace } from './throughput'
+
+export interface QueueRequest {
   team: string
   model: string
   workClass: WorkClass
   /** Tokens at most: prompt and answer. */
-  tokens: number
+  reservedTokens: number
   /** Monotonic time by which the request has to be answered. */
   deadlineMs: number
   signal: AbortSignal
 }
 
-export interface Turn {
+export interface QueuePermit {
   /** To be called when the request has ended; tells what it used. Calling it twice is harmless. */
-  done (usedTokens: number): void
+  release (usedTokens: number): void
 }
 
 /** Whether another request may be sent to an engine now. */
-export interface Capacity {
+export interface EngineCapacity {
   /** `started` requests for `model` have their turn here. */
-  mayStart (model: string, started: number): boolean
+  hasRoomFor (model: string, started: number): boolean
 }
 
 export interface QueueOptions {
-  capacity: Capacity
+  capacity: EngineCapacity
   weightOf: (team: string) => number
   /** Requests that wait at once, over all teams. @default 1000 */
   maxWaiting?: number
@@ -50,18 +50,18 @@
   logger: Logger
 }
 
-export interface TeamWaiting {
+export interface TeamBacklog {
   team: string
   workClass: WorkClass
   waiting: number
 }
 
-export interface Queue {
+export interface RequestQueue {
   /** Resolves when the request may go on, or is refused. */
-  enter (req: TurnRequest): Promise<Result<Turn, Failure>>
+  acquire (req: QueueRequest): Promise<Result<QueuePermit, Failure>>
   /** To be called when the capacity may have grown. */
-  poke (): void
-  waiting (): readonly TeamWaiting[]
+  dispatch (): void
+  backlogByTeam (): readonly TeamBacklog[]
 }
 
 const DEFAULT_MAX_WAITING = 1000
@@ -71,10 +71,10 @@
 const MAX_RETRY_AFTER_S = 60
 
 interface QueuedRequest extends Waiter {
-  settle: (result: Result<Turn, Failure>) => void
+  settle: (result: Result<QueuePermit, Failure>) => void
 }
 
-export function createQueue (options: QueueOptions): Queue {
+export function createRequestQueue (options: QueueOptions): RequestQueue {
   const { capacity, clock, logger, weightOf } = options
   const maxWaiting = options.maxWaiting ?? DEFAULT_MAX_WAITING
   const line = createLine<QueuedRequest>()
@@ -92,10 +92,10 @@
     paces.set(model, pace)
     return pace
   }
-  const mayStart = (model: string): boolean => capacity.mayStart(model, started.get(model) ?? 0)
+  const mayStart = (model: string): boolean => capacity.hasRoomFor(model, started.get(model) ?? 0)
 
-  const start = (req: Waiter): Turn => {
-    const { team, model, workClass, tokens } = req
+  const start = (req: Waiter): QueuePermit => {
+    const { team, model, workClass, reservedTokens: tokens } = req
     teams.activate(team)
     classes.activate(workClass)
     teams.charge(team, tokens)
@@ -106,7 +106,7 @@
     add(runningInClass, workClass, 1)
     let isDone = false
     return {
-      done: usedTokens => {
+      release: usedTokens => {
         if (isDone) return
         isDone = true
         teams.charge(team, usedTokens - tokens)
@@ -166,17 +166,17 @@
   }
 
   /** Milliseconds until the request would get its turn, or undefined while nobody can tell. */
-  const estimate = (req: TurnRequest): number | undefined => {
+  const estimate = (req: QueueRequest): number | undefined => {
     const pace = paceOf(req.model).tokensPerSecond(now())
     if (pace === undefined) return undefined
     const rivals = line.all().filter(other => other.model === req.model && isBeforeOrWith(other, req))
     const ahead = rivals.filter(other => other.team === req.team && other.deadlineMs <= req.deadlineMs)
-    const tokensAhead = ahead.reduce((sum, other) => sum + other.tokens, 0)
+    const tokensAhead = ahead.reduce((sum, other) => sum + other.reservedTokens, 0)
     const weights = [...new Set([...rivals.map(other => other.team), req.team])].reduce((sum, team) => sum + weightOf(team), 0)
     return tokensAhead / (pace * weightOf(req.team) / weights) * MS_PER_SECOND
   }
   const overloaded = (message: string, waitMs: number): Failure =>
-    refusal('overloaded', message, Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))))
+    createRefusal('overloaded', message, Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))))
   /**
    * A team that sends several times its share must not fill the places of the others: when there is no place
    * left, the team with the most waiting for its weight gives one up, the last of its own line.
@@ -191,7 +191,7 @@
     refuse(last, overloaded('Too many requests of the team wait here.', POLL_MS), 'place given to another team')
     return true
   }
-  const wait = (req: TurnRequest): Promise<Result<Turn, Failure>> => new Promise(resolve => {
+  const wait = (req: QueueRequest): Promise<Result<QueuePermit, Failure>> => new Promise(resolve => {
     let cancelTimer: CancelTimer = () => {}
     const queued: QueuedRequest = {
       ...req,
@@ -202,8 +202,8 @@
         resolve(result)
       }
     }
-    const onDeadline = (): void => refuse(queued, refusal('deadline_exceeded', 'The deadline passed before the request got its turn.', 1), 'deadline')
-    const onAbort = (): void => refuse(queued, refusal('deadline_exceeded', 'The request was ended before it got its turn.', 1), 'aborted')
+    const onDeadline = (): void => refuse(queued, createRefusal('deadline_exceeded', 'The deadline passed before the request got its turn.', 1), 'deadline')
+    const onAbort = (): void => refuse(queued, createRefusal('deadline_exceeded', 'The request was ended before it got its turn.', 1), 'aborted')
     cancelTimer = clock.schedule(req.deadlineMs - now(), onDeadline)
     req.signal.addEventListener('abort', onAbort, { once: true })
     teams.activate(req.team)
@@ -214,12 +214,12 @@
   })
 
   return {
-    poke: dispatch,
-    waiting: () => waitingOf(line),
-    enter: async req => {
+    dispatch,
+    backlogByTeam: () => waitingOf(line),
+    acquire: async req => {
       const isFree = line.size() === 0 && mayStart(req.model)
       if (isFree) return Ok(start({ ...req, enteredAtMs: now() }))
-      if (req.signal.aborted || req.deadlineMs <= now()) return Err(refusal('deadline_exceeded', 'The deadline passed before the request got its turn.', 1))
+      if (req.signal.aborted || req.deadlineMs <= now()) return Err(createRefusal('deadline_exceeded', 'The deadline passed before the request got its turn.', 1))
       const estimatedMs = estimate(req)
       const leftMs = req.deadlineMs - now()
       if (estimatedMs !== undefined && estimatedMs > leftMs) {
@@ -231,11 +231,11 @@
   }
 }
 
-function isBeforeOrWith (other: Waiter, req: TurnRequest): boolean {
+function isBeforeOrWith (other: Waiter, req: QueueRequest): boolean {
   return other.workClass === 'interactive' || req.workClass === 'patient'
 }
 
-function waitingOf (line: Line<QueuedRequest>): readonly TeamWaiting[] {
+function waitingOf (line: Line<QueuedRequest>): readonly TeamBacklog[] {
   return WORK_CLASSES.flatMap(workClass => line.teams(workClass)
     .map(team => ({ team, workClass, waiting: line.of(workClass, team).length })))
 }
--- a/packages/magnoliabay/src/node/queue/pace.ts
+++ b/packages/magnoliabay/src/node/queue/throughput.ts
@@ -18,7 +18,7 @@
   let waitingSinceMs: number | undefined
 
   return {
-    noteStarted: started.note,
+    noteStarted: started.add,
     noteWaiting: (isWaiting, now) => {
       if (!isWaiting) waitingSinceMs = undefined
       if (!isWaiting || waitingSinceMs !== undefined) return
--- a/packages/magnoliabay/src/node/queue/line.ts
+++ b/packages/magnoliabay/src/node/queue/waitingRequests.ts
@@ -1,12 +1,12 @@
 /** Those who wait, by class and team, in order of their deadlines. */
-import type { WorkClass } from './classes'
+import type { WorkClass } from './workClass'
 
 export interface Waiter {
   team: string
   model: string
   workClass: WorkClass
   /** Tokens at most: prompt and answer. */
-  tokens: number
+  reservedTokens: number
   /** Monotonic milliseconds. */
   deadlineMs: number
   enteredAtMs: number
--- a/packages/magnoliabay/src/node/queue/classes.ts
+++ b/packages/magnoliabay/src/node/queue/workClass.ts
@@ -3,7 +3,7 @@
 /** `interactive`: somebody waits for each answer. `patient`: may wait, but is not to be starved. */
 export type WorkClass = 'interactive' | 'patient'
 
-export const CLASS_HEADER = 'x-class'
+export const WORK_CLASS_HEADER = 'x-class'
 
 export const WORK_CLASSES: readonly WorkClass[] = ['interactive', 'patient']
 
@@ -11,9 +11,9 @@
 export const CLASS_WEIGHTS: Readonly<Record<WorkClass, number>> = { interactive: 4, patient: 1 }
 
 /** Priorities at the engines, 0 first. */
-export const ENGINE_PRIORITIES: Readonly<Record<WorkClass, number>> = { interactive: 1, patient: 2 }
+export const ENGINE_PRIORITY_BY_CLASS: Readonly<Record<WorkClass, number>> = { interactive: 1, patient: 2 }
 
 /** The class that a header names; anything else counts as interactive. */
-export function workClassOf (header: string | string[] | undefined): WorkClass {
+export function parseWorkClass (header: string | string[] | undefined): WorkClass {
   return header === 'patient' ? 'patient' : 'interactive'
 }
--- a/packages/magnoliabay/src/node/report/chart.ts
+++ b/packages/magnoliabay/src/node/report/chart.ts
@@ -1,5 +1,5 @@
 /** A chart of one burn rate over three days, as SVG. */
-import { burnRate } from './burn'
+import { burnRate } from './burnRate'
 import { COARSE_BUCKET_MS, HOUR_MS } from './counts'
 import { escapeHtml } from './escape'
 import type { BurnLine } from '.'
--- a/packages/magnoliabay/src/node/report/html.ts
+++ b/packages/magnoliabay/src/node/report/html.ts
@@ -2,7 +2,7 @@
 import { drawBurn } from './chart'
 import type { BurnLine, BurnReport } from '.'
 import { escapeHtml } from './escape'
-import { WINDOW_NAMES } from './burn'
+import { WINDOW_NAMES } from './burnRate'
 import { alertText, formatShare, keptShare } from './table'
 
 const STYLE = `
@@ -21,7 +21,7 @@
 rect.fine { fill: var(--fine); } rect.slow { fill: var(--slow); } rect.fast { fill: var(--fast); }
 `
 
-export function renderReport (report: BurnReport): string {
+export function renderReportHtml (report: BurnReport): string {
   const teams = [...new Set(report.lines.map(line => line.team))]
   const unheard = report.unheard.length === 0 ? '' : ` Not counted, since they did not answer: ${escapeHtml(report.unheard.join(', '))}.`
   return `<!doctype html>
--- a/packages/magnoliabay/src/node/report/index.ts
+++ b/packages/magnoliabay/src/node/report/index.ts
@@ -4,11 +4,11 @@
 import { Counter, Gauge } from 'prom-client'
 import type { Registry } from 'prom-client'
 import type { Clock } from '../clock'
-import type { ConfigHolder } from '../config'
+import type { ConfigProvider } from '../config'
 import { definePeerCall, definePeerNotice } from '../members'
 import type { Peers } from '../members'
-import { WINDOW_MS, burnRate, burnRates, firingRule } from './burn'
-import type { AlertRule, BurnRates, WindowName } from './burn'
+import { WINDOW_MS, burnRate, burnRates, firingRule } from './burnRate'
+import type { AlertRule, BurnRates, WindowName } from './burnRate'
 import { createCounts } from './counts'
 import type { BucketTally, Counts, SeriesCounts, Tally } from './counts'
 import { OBJECTIVE_NAMES, judge, objectiveOf, targetOf } from './objectives'
@@ -38,16 +38,16 @@
   lines: BurnLine[]
 }
 
-export interface Report {
-  observe (seen: Observation): void
+export interface SloTracker {
+  recordRequest (seen: Observation): void
   /** Over all instances that answer. */
-  read (): Promise<BurnReport>
+  collect (): Promise<BurnReport>
   /** Gives the counts to a peer: an instance that is replaced would take three days of them with it. */
   handOver (): void
 }
 
-export interface ReportOptions {
-  cfg: ConfigHolder
+export interface SloTrackerOptions {
+  cfg: ConfigProvider
   peers: Peers
   registry: Registry
   clock: Clock
@@ -59,13 +59,13 @@
 /** Windows shown on `/metrics`; recording rules make the others from the counters. */
 const METRIC_WINDOWS: readonly WindowName[] = ['5m', '1h', '6h', '3d']
 
-export function createReport (options: ReportOptions): Report {
+export function createSloTracker (options: SloTrackerOptions): SloTracker {
   const { cfg, peers, clock } = options
   const counts = createCounts(clock.now)
-  const objectiveFor = (team: string) => objectiveOf(cfg.inForce().fleet.objective, cfg.team(team))
+  const objectiveFor = (team: string) => objectiveOf(cfg.active().fleet.objective, cfg.team(team))
   const events = registerMetrics(options, counts, objectiveFor)
 
-  const linesOf = (merged: Counts): BurnLine[] => cfg.inForce().fleet.team.flatMap(({ name: team }) => OBJECTIVE_NAMES.map(objective => {
+  const linesOf = (merged: Counts): BurnLine[] => cfg.active().fleet.team.flatMap(({ name: team }) => OBJECTIVE_NAMES.map(objective => {
     const target = targetOf(objective, objectiveFor(team))
     const tallyOf = (windowMs: number): Tally => merged.sum(team, objective, windowMs)
     return {
@@ -82,7 +82,7 @@
   peers.listen(reportHandover, ({ series }) => counts.merge(series))
 
   return {
-    observe: seen => {
+    recordRequest: seen => {
       // A team that the configuration doesn't name can't come in; names from elsewhere must not grow the metrics.
       if (cfg.team(seen.team) === undefined) return
       judge(seen, objectiveFor(seen.team)).forEach(({ objective, isGood }) => {
@@ -90,7 +90,7 @@
         events.inc({ team: seen.team, objective, result: isGood ? 'good' : 'bad' })
       })
     },
-    read: async () => {
+    collect: async () => {
       const merged = createCounts(clock.now)
       const answers = await Promise.all(peers.members().map(async ({ id }) => ({ id, answer: await peers.call(id, reportCounts, {}, { timeoutMs: ASK_TIMEOUT_MS }) })))
       answers.forEach(({ answer }) => { if (answer.ok) merged.merge(answer.val.series) })
@@ -108,7 +108,7 @@
   }
 }
 
-function registerMetrics ({ cfg, registry }: ReportOptions, counts: Counts, objectiveFor: (team: string) => Parameters<typeof targetOf>[1]): Counter<'team' | 'objective' | 'result'> {
+function registerMetrics ({ cfg, registry }: SloTrackerOptions, counts: Counts, objectiveFor: (team: string) => Parameters<typeof targetOf>[1]): Counter<'team' | 'objective' | 'result'> {
   const burn = new Gauge({
     name: 'magnoliabay_slo_burn_rate',
     help: 'How fast the error budget burns, as this instance sees it; 1 spends it exactly over its period.',
@@ -116,7 +116,7 @@
     registers: [registry],
     collect () {
       this.reset()
-      cfg.inForce().fleet.team.forEach(({ name: team }) => OBJECTIVE_NAMES.forEach(objective => METRIC_WINDOWS.forEach(window => {
+      cfg.active().fleet.team.forEach(({ name: team }) => OBJECTIVE_NAMES.forEach(objective => METRIC_WINDOWS.forEach(window => {
         const target = targetOf(objective, objectiveFor(team))
         burn.set({ team, objective, window }, burnRate(counts.sum(team, objective, WINDOW_MS[window]), target))
       })))
--- a/packages/magnoliabay/src/node/report/objectives.ts
+++ b/packages/magnoliabay/src/node/report/objectives.ts
@@ -1,7 +1,7 @@
 /** Which objectives a request counts for, and whether it kept to them. */
 import type { ObjectiveConfig, TeamConfig } from '../config'
 import type { FailureCode } from '../failures'
-import type { Outcome } from '../outcomes'
+import type { RequestOutcome } from '../outcomes'
 
 export type ObjectiveName = 'availability' | 'first-token' | 'cold-start' | 'within-rate'
 export const OBJECTIVE_NAMES: readonly ObjectiveName[] = ['availability', 'first-token', 'cold-start', 'within-rate']
@@ -9,7 +9,7 @@
 /** One ended request. */
 export interface Observation {
   team: string
-  outcome: Outcome['kind']
+  outcome: RequestOutcome['kind']
   code: FailureCode | 'ok'
   /** Milliseconds from the request to the first byte of its answer; undefined when there was none. */
   firstTokenMs?: number
@@ -17,7 +17,7 @@
   wasCold: boolean
 }
 
-export interface Verdict {
+export interface ObjectiveResult {
   objective: ObjectiveName
   isGood: boolean
 }
@@ -50,15 +50,15 @@
  * A request that was refused unrun counts against `within-rate` only, one that failed after it was sent
  * against `availability` only: no failure burns two budgets.
  */
-export function judge (seen: Observation, objective: ObjectiveConfig): Verdict[] {
+export function judge (seen: Observation, objective: ObjectiveConfig): ObjectiveResult[] {
   if (CALLERS_OWN.has(seen.code)) return []
   if (seen.outcome === 'refused-not-run') return [{ objective: 'within-rate', isGood: false }]
-  const verdicts: Verdict[] = [
+  const verdicts: ObjectiveResult[] = [
     { objective: 'within-rate', isGood: true },
     { objective: 'availability', isGood: seen.outcome === 'answered' }
   ]
   if (seen.firstTokenMs === undefined) return verdicts
-  const speed: Verdict = seen.wasCold
+  const speed: ObjectiveResult = seen.wasCold
     ? { objective: 'cold-start', isGood: seen.firstTokenMs <= objective.coldStartMs }
     : { objective: 'first-token', isGood: seen.firstTokenMs <= objective.firstTokenMs }
   return [...verdicts, speed]
--- a/packages/magnoliabay/src/node/report/table.ts
+++ b/packages/magnoliabay/src/node/report/table.ts
@@ -1,12 +1,12 @@
 /** The report for a terminal. */
 import type { BurnLine, BurnReport } from '.'
-import type { WindowName } from './burn'
+import type { WindowName } from './burnRate'
 import { formatTable } from '../commands/table'
 
 const SHOWN_WINDOWS: readonly WindowName[] = ['5m', '1h', '6h', '3d']
 const NO_REQUESTS = '-'
 
-export function formatReport (report: BurnReport): string {
+export function formatReportTable (report: BurnReport): string {
   const rows = report.lines.map(rowOf)
   const table = formatTable(['team', 'objective', 'target', 'requests', 'kept', ...SHOWN_WINDOWS.map(window => `burn ${window}`), 'alert'], rows)
   const unheard = report.unheard.length === 0 ? [] : ['', `Not counted, since they did not answer: ${report.unheard.join(', ')}`]
--- a/packages/magnoliabay/src/node/routing/index.ts
+++ b/packages/magnoliabay/src/node/routing/index.ts
@@ -1,48 +1,48 @@
 /**
  * Which replica a request goes to, and the wait while there is none.
  */
-import type { Directory } from '../backend/directory'
+import type { BackendDirectory } from '../backend/directory'
 import type { Cells, ReplicaEntry } from '../cells'
 import type { Clock } from '../clock'
-import type { ConfigHolder } from '../config'
-import { refusal } from '../failures'
+import type { ConfigProvider } from '../config'
+import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { chooseReplica } from './choice'
-import { createWaitingRoom } from './waiting'
+import { chooseReplica } from './replicaSelection'
+import { createWaitingRoom } from './replicaWait'
 
-export interface RouteRequest {
+export interface ReplicaRequest {
   /** A model, or an adapter, which needs its model at the same engine. */
-  name: string
+  modelOrAdapter: string
   /** Team that waits; its weight counts in the order of loads. */
   team?: string
   /** Hash of the prompt's beginning, to bring alike prompts to one replica. */
-  prefix?: string
+  prefixHash?: string
   /** Monotonic time by which the request has to be on its way. */
   deadlineMs: number
   /** Engines not to use again, such as one that has just failed this request. One that loses its replica is taken out. */
-  avoid: Set<string>
+  excludedEngines: Set<string>
   signal: AbortSignal
 }
 
-export interface Route {
+export interface AcquiredReplica {
   replica: ReplicaEntry
   /** To be called once, when the request has ended. */
   release: () => void
 }
 
-export interface Routing {
+export interface ReplicaRouter {
   /** Chooses a replica, waiting for one to be loaded if none is. */
-  acquire (req: RouteRequest): Promise<Result<Route, Failure>>
+  acquireReplica (req: ReplicaRequest): Promise<Result<AcquiredReplica, Failure>>
   inFlight (engine: string): number
 }
 
 export interface RoutingOptions {
   cells: Cells
-  cfg: Pick<ConfigHolder, 'adapter' | 'team'>
+  cfg: Pick<ConfigProvider, 'adapter' | 'team'>
   /** What the platform's list says about engines, to leave out those that are leaving. */
-  directory: Pick<Directory, 'engine'>
+  directory: Pick<BackendDirectory, 'engine'>
   clock: Clock
 }
 
@@ -53,7 +53,7 @@
 
 const RETRY_AFTER_SECONDS = 5
 
-export function createRouting (options: RoutingOptions): Routing {
+export function createReplicaRouter (options: RoutingOptions): ReplicaRouter {
   const { cells, cfg, clock, directory } = options
   const inFlight = new Map<string, number>()
   const waitingRoom = createWaitingRoom(cells, clock)
@@ -74,8 +74,8 @@
     const adapter = cfg.adapter(name)
     return adapter === undefined ? { model: name } : { model: adapter.model, adapter: name }
   }
-  const isUsable = (req: RouteRequest, target: Target, replica: ReplicaEntry): boolean =>
-    !req.avoid.has(replica.engine) && isStaying(replica) && (target.adapter === undefined || replica.adapters.includes(target.adapter))
+  const isUsable = (req: ReplicaRequest, target: Target, replica: ReplicaEntry): boolean =>
+    !req.excludedEngines.has(replica.engine) && isStaying(replica) && (target.adapter === undefined || replica.adapters.includes(target.adapter))
   /**
    * An engine that has lost its replica since is no longer the one that failed, and its next load may serve. Without
    * this, a request whose only engine died would wait beside the replica loaded anew until its deadline.
@@ -84,14 +84,14 @@
     const lost = [...avoid].filter(engine => !all.some(replica => replica.engine === engine))
     lost.forEach(engine => avoid.delete(engine))
   }
-  const choose = (req: RouteRequest, target: Target): Route | undefined => {
-    const all = cells.replicas.of(target.model)
-    forgiveLost(req.avoid, all)
-    const avoidDomains = new Set(all.filter(replica => req.avoid.has(replica.engine)).map(replica => replica.failureDomain))
-    const replica = chooseReplica({ replicas: all.filter(candidate => isUsable(req, target, candidate)), prefix: req.prefix, loadOf, avoidDomains })
+  const choose = (req: ReplicaRequest, target: Target): AcquiredReplica | undefined => {
+    const all = cells.replicas.replicasOf(target.model)
+    forgiveLost(req.excludedEngines, all)
+    const avoidDomains = new Set(all.filter(replica => req.excludedEngines.has(replica.engine)).map(replica => replica.failureDomain))
+    const replica = chooseReplica({ replicas: all.filter(candidate => isUsable(req, target, candidate)), prefix: req.prefixHash, loadOf, avoidDomains })
     if (replica === undefined) return undefined
     count(replica.engine, 1)
-    cells.noteUsed(target.model, target.adapter)
+    cells.recordUse(target.model, target.adapter)
     return { replica, release: releaseOnce(target, replica.engine) }
   }
   const releaseOnce = ({ model, adapter }: Target, engine: string): () => void => {
@@ -101,17 +101,17 @@
       isReleased = true
       count(engine, -1)
       // A long answer is use until its end.
-      cells.noteUsed(model, adapter)
+      cells.recordUse(model, adapter)
     }
   }
   const refuse = (name: string, model: string): Failure => {
     const reason = waitingRoom.reasonFor(model)
-    return refusal('deadline_exceeded', `No replica of ${name} became ready in time${reason === undefined ? '' : `: ${reason}`}.`, RETRY_AFTER_SECONDS)
+    return createRefusal('deadline_exceeded', `No replica of ${name} became ready in time${reason === undefined ? '' : `: ${reason}`}.`, RETRY_AFTER_SECONDS)
   }
   return {
     inFlight: engine => inFlight.get(engine) ?? 0,
-    acquire: async req => {
-      const target = targetOf(req.name)
+    acquireReplica: async req => {
+      const target = targetOf(req.modelOrAdapter)
       const immediate = choose(req, target)
       if (immediate !== undefined) return Ok(immediate)
       const route = await waitingRoom.wait({
@@ -121,7 +121,7 @@
         signal: req.signal,
         attempt: () => choose(req, target)
       })
-      return route === undefined ? Err(refuse(req.name, target.model)) : Ok(route)
+      return route === undefined ? Err(refuse(req.modelOrAdapter, target.model)) : Ok(route)
     }
   }
 }
--- a/packages/magnoliabay/src/node/routing/waiting.ts
+++ b/packages/magnoliabay/src/node/routing/replicaWait.ts
@@ -59,7 +59,7 @@
     const adapters = [...new Set(all.flatMap(waiter => waiter.adapter ?? []))]
     adapters.forEach(adapter => told.add(adapter))
     const deadlineMs = Math.min(...all.map(waiter => waiter.deadlineMs))
-    const reply = await cells.demand({
+    const reply = await cells.requestReplica({
       model,
       adapters,
       waiting: all.length,
--- a/packages/magnoliabay/src/node/serving/__tests__/choose.spec.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/chooseServer.spec.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
-import { chooseServer } from '../choose'
-import type { Candidate } from '../choose'
+import { chooseServer } from '../chooseServer'
+import type { Candidate } from '../chooseServer'
 
 const candidate = (id: string, changes: Partial<Candidate> = {}): Candidate => ({ id, load: 0, slots: 6, isNear: false, failureRate: 0, isSilent: false, isCold: false, ...changes })
 
--- a/packages/magnoliabay/src/node/serving/__tests__/fixtures.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/fixtures.ts
@@ -1,7 +1,7 @@
 /** Records that tests of the serving path share. */
 import type { MemberRecord } from '../../members'
 import type { EvacuationState } from '../evacuations'
-import type { InstanceReport, Leading } from '../fleetMessages'
+import type { InstanceReport, LeadershipTerm } from '../fleetMessages'
 import type { BackendServer, ModelSpec, Route, ServingConfig, Team } from '../types'
 
 export function memberRecord (id: string, changes: Partial<MemberRecord> = {}): MemberRecord {
@@ -9,7 +9,7 @@
 }
 
 export function teamOf (name: string, changes: Partial<Team> = {}): Team {
-  return { name, keys: [`key-of-${name}`], priority: undefined, unit: 'tokens', plainTokens: 10, rate: 100, burst: 100, ...changes }
+  return { name, keys: [`key-of-${name}`], priority: undefined, unit: 'tokens', defaultTokens: 10, rate: 100, burst: 100, ...changes }
 }
 
 export function routeOf (prefix: string, changes: Partial<Route> = {}): Route {
@@ -19,8 +19,8 @@
     prefix,
     kind: 'idempotent',
     timeoutMs: 5000,
-    objectiveMs: 100,
-    eventGapMs: 0,
+    latencyObjectiveMs: 100,
+    maxEventGapMs: 0,
     priority: 0,
     maxAttempts: 2,
     isAnonymous: false,
@@ -54,7 +54,7 @@
 }
 
 /** A claim of the orders, at a revision of the store. */
-export function leadingOf (holder: string, revision = 1): Leading {
+export function leadingOf (holder: string, revision = 1): LeadershipTerm {
   return { claim: { holder, machine: `${holder} at home`, claim: `${holder} ${revision}` }, revision }
 }
 
--- a/packages/magnoliabay/src/node/serving/__tests__/support/fleetWorld.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
@@ -9,21 +9,21 @@
 import type { MemberRecord, PeerNetwork } from '../../../members'
 import { createMemoryNetwork } from '../../../members/memoryNetwork'
 import type { MemoryNetwork } from '../../../members/memoryNetwork'
-import { createReach, runFeeds } from '../../../store'
-import type { FeedCalls, Store, WatchEnd, WatchFeed, WatchHandlers } from '../../../store'
-import { createConfigInForce } from '../../configInForce'
-import type { ConfigInForce } from '../../configInForce'
+import { createStoreConnectivity, runPrefixWatches } from '../../../store'
+import type { WatchClient, Store, WatchOutcome, PrefixWatch, WatchHandlers } from '../../../store'
+import { createServingConfigProvider } from '../../servingConfigProvider'
+import type { ServingConfigProvider } from '../../servingConfigProvider'
 import { createEvacuations } from '../../evacuations'
-import { createFleetTable } from '../../fleetTable'
-import type { FleetTable, FleetTeller } from '../../fleetTable'
-import { createLeadership } from '../../placement/leadership'
-import type { Leadership } from '../../placement/leadership'
-import { createServers } from '../../servers'
-import type { Servers } from '../../servers'
-import { createSpread } from '../../spread'
-import { createStoreFeeds, watchStore } from '../../storeFeeds'
+import { createFleetView } from '../../fleetView'
+import type { FleetView, FleetReporter } from '../../fleetView'
+import { createLeaderElection } from '../../placement/leaderElection'
+import type { LeaderElection } from '../../placement/leaderElection'
+import { createServerList } from '../../serverList'
+import type { ServerList } from '../../serverList'
+import { createSpread } from '../../dissemination'
+import { createStoreFeeds, watchStore } from '../../storeWatches'
 import { createStoreProxy } from '../../storeProxy'
-import { createStoreTurn } from '../../storeTurn'
+import { createStoreTurn } from '../../storeReadPolicy'
 import type { BackendServer } from '../../types'
 import { configOf, memberRecord, reportOf, serverOf } from '../fixtures'
 
@@ -36,12 +36,12 @@
 const LARGE = 3
 const ORDER_LEASE_MS = 3000
 
-export interface Instance {
+export interface SimulatedInstance {
   record: MemberRecord
-  cfg: ConfigInForce
-  servers: Servers
-  table: FleetTable & FleetTeller
-  leadership: Leadership
+  cfg: ServingConfigProvider
+  servers: ServerList
+  table: FleetView & FleetReporter
+  leadership: LeaderElection
   faults: FaultSwitches<KvFaults>
   stop: AbortController
   /** Of the store, since they were last reset. */
@@ -49,16 +49,16 @@
   /** Messages sent and received, since they were last reset. */
   messages: number
   /** Moments at which a timer or a message woke it, since they were last reset, whole milliseconds. */
-  wakes: Set<number>
+  wakeUpTimes: Set<number>
   /** Requests that it has under way, by server. */
   inFlight: Map<string, number>
 }
 
-export interface FleetWorld {
+export interface SimulatedFleet {
   clock: VirtualClock
   network: MemoryNetwork
   state: KvState
-  instances: Map<string, Instance>
+  instances: Map<string, SimulatedInstance>
   start (index: number): void
   /** The process is gone; nothing of it is given back. */
   kill (id: string): void
@@ -81,20 +81,20 @@
 
 const prefixEnd = (prefix: string): string => prefix.slice(0, -1) + String.fromCharCode(prefix.charCodeAt(prefix.length - 1) + 1)
 
-export function createFleetWorld (random: () => number): FleetWorld {
+export function createSimulatedFleet (random: () => number): SimulatedFleet {
   const clock = createVirtualClock()
   const logger = createSilentLogger()
-  const instances = new Map<string, Instance>()
+  const instances = new Map<string, SimulatedInstance>()
   const network = createMemoryNetwork({
     clock,
-    fate: ({ from, to }) => {
+    deliveryPolicy: ({ from, to }) => {
       [from, to].map(id => instances.get(id)).forEach(instance => { if (instance !== undefined) instance.messages += 1 })
       const delayMs = 1 + random() * 2
       noteWake(to, delayMs)
       return [delayMs]
     }
   })
-  const noteWake = (id: string, inMs: number): void => { instances.get(id)?.wakes.add(Math.floor(clock.monotonic() + inMs)) }
+  const noteWake = (id: string, inMs: number): void => { instances.get(id)?.wakeUpTimes.add(Math.floor(clock.monotonic() + inMs)) }
   const state = createKvState({ clock })
 
   /** Begins at a moment of its own, and its timers count whole milliseconds, as those of a process do. */
@@ -110,15 +110,15 @@
     }
   }
   /** The store as one instance calls it; calls are counted, and a watch is one call at a time. */
-  const createCalls = (instance: () => Instance, faults: FaultSwitches<KvFaults>, clock: Clock): { store: Store, calls: FeedCalls, reach: ReturnType<typeof createReach> } => {
-    const reach = createReach({ address: 'store', clock, logger })
+  const createCalls = (instance: () => SimulatedInstance, faults: FaultSwitches<KvFaults>, clock: Clock): { store: Store, calls: WatchClient, reach: ReturnType<typeof createStoreConnectivity> } => {
+    const reach = createStoreConnectivity({ address: 'store', clock, logger })
     const subscribers: Subscriber[] = []
     const direct = createDirectStore(state, { clock, faults })
-    const isDown = (): boolean => faults.now.down !== 'no'
+    const isDown = (): boolean => faults.current.down !== 'no'
     const counted = async <T extends { ok: boolean }>(call: Promise<T>): Promise<T> => {
       instance().calls += 1
       const res = await call
-      reach.note(!isDown(), 'a call', 'turned away')
+      reach.recordCall(!isDown(), 'a call', 'turned away')
       return res
     }
     const store: Store = {
@@ -130,8 +130,8 @@
       revokeLease: id => counted(direct.revokeLease(id)),
       watch: (prefix, handlers) => { subscribers.push({ prefix, handlers }) }
     }
-    const ofFeed = ({ prefix: root }: WatchFeed): Subscriber[] => subscribers.filter(({ prefix }) => prefix.startsWith(root))
-    const calls: FeedCalls = {
+    const ofFeed = ({ prefix: root }: PrefixWatch): Subscriber[] => subscribers.filter(({ prefix }) => prefix.startsWith(root))
+    const calls: WatchClient = {
       readAll: async feed => {
         const read = await store.range(feed.prefix)
         if (read.err) return undefined
@@ -142,19 +142,19 @@
       watch: (feed, { after, waitMs, signal }) => new Promise(resolve => {
         instance().calls += 1
         let cancelWatch = (): void => {}
-        const end = (result: WatchEnd): void => {
+        const end = (result: WatchOutcome): void => {
           cancelWait()
           cancelWatch()
           resolve(result)
         }
         const answer = (events: readonly KvEvent[], at: number): void => {
           if (signal.aborted) return
-          reach.note(!isDown(), 'a watch', 'turned away')
+          reach.recordCall(!isDown(), 'a watch', 'turned away')
           if (isDown()) return end({ kind: 'failed', err: { kind: 'unavailable', message: 'turned away' } })
           events.forEach(({ kind, entry }) => ofFeed(feed)
             .filter(({ prefix }) => entry.key.startsWith(prefix))
             .forEach(({ handlers }) => handlers.onEvent({ ...entry, kind })))
-          end({ kind: 'answered', at, hadEvents: events.length > 0 })
+          end({ kind: 'answered', revision: at, hadEvents: events.length > 0 })
         }
         const cancelWait = clock.schedule(isDown() ? 0 : waitMs, () => answer([], state.revision()))
         signal.addEventListener('abort', () => end({ kind: 'cut' }), { once: true })
@@ -181,43 +181,43 @@
       ...joined,
       members: () => known,
       setMembers: records => { known = [...records.filter(each => each.id !== id), record].sort((left, right) => left.id < right.id ? -1 : 1) },
-      evidenceOf: other => joined.isConnected(other) ? 'linked' : 'unlinked',
-      greet: async () => {},
+      linkStateOf: other => joined.isConnected(other) ? 'linked' : 'unlinked',
+      connectOnce: async () => {},
       start: async () => {},
       close: async () => {}
     }
     const { store, calls, reach } = createCalls(() => instances.get(id)!, faults, own)
     const storeAgeMs = (): number => own.monotonic() - reach.lastContactMs()
-    const steadyMs = (): number => own.monotonic() - reach.steadySinceMs()
-    const cfg = createConfigInForce({ decode: text => configOf(Number(text)), clock: own, logger })
-    const evacuations = createEvacuations({ storeSteadySinceMs: reach.steadySinceMs, clock: own, logger })
-    const servers = createServers({ decode: (_key, text) => JSON.parse(text) as BackendServer, idOf: key => key.slice(SERVERS.length), isEvacuated: evacuations.isEvacuated, storeSteadySinceMs: reach.steadySinceMs, clock: own, logger })
+    const steadyMs = (): number => own.monotonic() - reach.reachableSinceMs()
+    const cfg = createServingConfigProvider({ decode: text => configOf(Number(text)), clock: own, logger })
+    const evacuations = createEvacuations({ storeReachableSinceMs: reach.reachableSinceMs, clock: own, logger })
+    const servers = createServerList({ decode: (_key, text) => JSON.parse(text) as BackendServer, idOf: key => key.slice(SERVERS.length), isEvacuated: evacuations.isEvacuated, storeReachableSinceMs: reach.reachableSinceMs, clock: own, logger })
     const membership = createMembership({ store, network: peers, clock: own, logger })
     const inFlight = new Map<string, number>()
-    const table = createFleetTable({
+    const table = createFleetView({
       peers,
       clock: own,
       isLinked: joined.isConnected,
-      leader: () => leadership.isHolder() ? id : leadership.holder(),
+      leader: () => leadership.isLeaseHolder() ? id : leadership.leaseHolder(),
       own: () => reportOf({ inFlight: [...inFlight].map(([server, count]) => ({ server, model: 'a', count })), storeAgeMs: storeAgeMs(), isReady: cfg.version() > 0 }),
       spentWithBelow: () => [],
-      leading: () => leadership.leading(),
-      latestClaim: () => leadership.latestClaim(),
+      leading: () => leadership.ownClaim(),
+      latestClaim: () => leadership.latestClaimRevision(),
       summary: () => ({ configVersion: cfg.version(), storeAgeMs: proxy.sight().ageMs, storeSteadyMs: proxy.sight().steadyMs, spent: [], evacuation: evacuations.state(), listDigest: servers.digest(), membersDigest: membership.digest() }),
       beforeSummary: () => spread.tellChanges(),
       onReport: () => {},
       onSummary: (member, summary) => spread.noteSummary(member.id, summary)
     })
-    const leadership: Leadership = createLeadership({
+    const leadership: LeaderElection = createLeaderElection({
       store,
       self: id,
       machine: `${id} at home`,
-      renewByPeer: async leaseId => [...instances.values()].some(other => other.faults.now.down === 'no') ? await createDirectStore(state, { clock: own }).renewLease(leaseId) : undefined,
-      hasEnded: async other => !instances.has(other),
+      renewLeaseViaPeer: async leaseId => [...instances.values()].some(other => other.faults.current.down === 'no') ? await createDirectStore(state, { clock: own }).renewLease(leaseId) : undefined,
+      hasProcessEnded: async other => !instances.has(other),
       isFollowing: table.isFollowing,
       era: state.era,
       isFirstStart: true,
-      yieldMs: () => table.isRelayed() && !table.isRelay() ? 800 : 0,
+      candidacyDelayMs: () => table.isRelayed() && !table.isRelay() ? 800 : 0,
       orderLeaseMs: ORDER_LEASE_MS,
       minLeaseMs: 1000,
       processorShare: record.processorShare,
@@ -225,7 +225,7 @@
       logger,
       random
     })
-    const proxy = createStoreProxy({ peers, isLeading: leadership.isHolder, own: () => ({ ageMs: storeAgeMs(), steadyMs: steadyMs() }), candidates: table.peersAtStore, onProxied: member => spread.noteProxy(member), clock: own, logger })
+    const proxy = createStoreProxy({ peers, isLeading: leadership.isLeaseHolder, own: () => ({ ageMs: storeAgeMs(), steadyMs: steadyMs() }), candidates: table.peersWithStoreAccess, onProxied: member => spread.noteProxy(member), clock: own, logger })
     const spread = createSpread({
       peers,
       cfg,
@@ -233,25 +233,25 @@
       evacuations,
       members: membership,
       storeAgeMs,
-      leading: () => leadership.leading() ?? leadership.known(),
+      leading: () => leadership.ownClaim() ?? leadership.knownClaim(),
       followers: () => [...table.reporters(), ...proxy.clients()],
-      isLeadingRelays: () => leadership.isHolder() && table.isRelayed(),
+      isLeadingRelays: () => leadership.isLeaseHolder() && table.isRelayed(),
       isFollowing: table.isFollowing,
       isLinked: joined.isConnected,
       isProxy: member => proxy.current() === member,
-      onLeaderTold: leading => leadership.noteTold(leading),
+      onLeaderTold: leading => leadership.noteClaimFromPeer(leading),
       clock: own,
       logger,
       random
     })
     const isProxy = (): boolean => proxy.clients().length > 0
-    const turn = createStoreTurn({ isLeading: leadership.isHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => known.length, clock: own, logger, random })
+    const turn = createStoreTurn({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => known.length, clock: own, logger, random })
     const feeds = { store, wire: { keys: { operator: OPERATOR, config: CONFIG, evacuations: EVACUATIONS, servers: SERVERS } }, cfg, evacuations, servers, memberCount: () => known.length, isOwnTurn: turn.isOwn, isProxy, isOrdering: () => false }
-    instances.set(id, { record, cfg, servers, table, leadership, faults, stop, calls: 0, messages: 0, wakes: new Set(), inFlight })
+    instances.set(id, { record, cfg, servers, table, leadership, faults, stop, calls: 0, messages: 0, wakeUpTimes: new Set(), inFlight })
     watchStore(feeds, stop.signal)
     membership.start(stop.signal)
     leadership.start(stop.signal)
-    runFeeds({ calls, reach, clock: own, logger }, createStoreFeeds(feeds), stop.signal)
+    runPrefixWatches({ client: calls, connectivity: reach, clock: own, logger }, createStoreFeeds(feeds), stop.signal)
     table.start(stop.signal)
     spread.start(stop.signal)
     proxy.start(stop.signal)
@@ -277,18 +277,18 @@
       const key = `${EVACUATIONS}${domain}`
       state.transact({ compares: [], success: [isEvacuated ? { kind: 'put', key, value: '{}' } : { kind: 'delete', range: { key } }], failure: [] })
     },
-    leader: () => [...instances.values()].find(({ leadership }) => leadership.isHolder())?.record.id,
+    leader: () => [...instances.values()].find(({ leadership }) => leadership.isLeaseHolder())?.record.id,
     resetCounts: () => instances.forEach(instance => {
       instance.calls = 0
       instance.messages = 0
-      instance.wakes.clear()
+      instance.wakeUpTimes.clear()
     })
   }
 }
 
 /** A fleet that has run for some seconds, with a configuration and some servers. */
-export async function createSettledFleet (size: number, random: () => number): Promise<FleetWorld> {
-  const world = createFleetWorld(random)
+export async function createSettledFleet (size: number, random: () => number): Promise<SimulatedFleet> {
+  const world = createSimulatedFleet(random)
   world.setConfig(1)
   const servers = ['s1', 's2', 's3']
   servers.forEach(id => world.putServer(serverOf(id)))
--- a/packages/magnoliabay/src/node/serving/allowance/__tests__/recordCover.spec.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/__tests__/recordCoverage.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { NOTHING_RECORDED, createRecordCover } from '../recordCover'
+import { NOTHING_RECORDED, createRecordCover } from '../recordCoverage'
 
 const ZEROS = Array.from({ length: 16 }, () => 0)
 /** So much in each of the parts of a window that are named. */
--- a/packages/magnoliabay/src/node/serving/allowance/__tests__/support/world.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/__tests__/support/simulation.ts
@@ -12,13 +12,13 @@
 import { rankByRendezvous } from '../../../../utils'
 import { memberRecord, teamOf } from '../../../__tests__/fixtures'
 import type { Team } from '../../../types'
-import { createRecordsByPeer } from '../../recordsByPeer'
-import { createTeamAllowance } from '../../teamAllowance'
-import type { TeamAllowance } from '../../teamAllowance'
+import { createPeerFallbackStore } from '../../peerFallbackStore'
+import { createAllowanceLimiter } from '../../allowanceLimiter'
+import type { AllowanceLimiter } from '../../allowanceLimiter'
 
 export const WINDOW_MS = 8000
 export const IDS = ['m1', 'm2', 'm3', 'm4']
-export const TOLERANCE = { part: 0.1, units: 110 }
+export const TOLERANCE = { ratio: 0.1, slack: 110 }
 /** Copies of the store are made this often, milliseconds, and so many are kept. */
 const COPY_PERIOD_MS = 250
 const MAX_COPIES = 40
@@ -30,7 +30,7 @@
   network: MemoryNetwork
   /** For the store as every living process sees it. */
   setStore (faults: Partial<KvFaults>): void
-  members: Map<string, TeamAllowance>
+  members: Map<string, AllowanceLimiter>
   team: { current: Team }
   /** Instances that know no configuration. */
   unknowing: Set<string>
@@ -55,9 +55,9 @@
   const network = createMemoryNetwork({ clock })
   const team = { current: teamOf('depot') }
   const state = createKvState({ clock })
-  const copies = [state.copy()]
+  const copies = [state.snapshot()]
   const keepCopies = (): void => {
-    copies.unshift(state.copy())
+    copies.unshift(state.snapshot())
     copies.splice(MAX_COPIES)
     clock.schedule(COPY_PERIOD_MS, keepCopies)
   }
@@ -72,20 +72,20 @@
     faults.set(id, own)
     return createDirectStore(state, { clock, faults: own })
   }
-  const isAtStore = (id: string): boolean => members.has(id) && faults.get(id)?.now.down === 'no'
-  const join = (id: string, isFirst: boolean, changes: Partial<MemberRecord> = {}): TeamAllowance => {
+  const isAtStore = (id: string): boolean => members.has(id) && faults.get(id)?.current.down === 'no'
+  const join = (id: string, isFirst: boolean, changes: Partial<MemberRecord> = {}): AllowanceLimiter => {
     const peers = network.join(memberRecord(id, { startedAtMs: clock.now() - clock.monotonic(), ...changes }))
-    const store = createRecordsByPeer({
+    const store = createPeerFallbackStore({
       peers,
       store: storeOf(id),
-      isOutOfReach: () => faults.get(id)?.now.down !== 'no',
-      peersAtStore: () => IDS.filter(other => other !== id && isAtStore(other) && peers.isConnected(other)).slice(0, 1)
+      isStoreUnreachable: () => faults.get(id)?.current.down !== 'no',
+      peersWithStoreAccess: () => IDS.filter(other => other !== id && isAtStore(other) && peers.isConnected(other)).slice(0, 1)
     })
-    return createTeamAllowance({ peers, teamNamed: () => unknowing.has(id) ? undefined : team.current, windowMs: WINDOW_MS, isFirstStart: isFirst, store, era: state.era, tolerance: TOLERANCE, clock, logger })
+    return createAllowanceLimiter({ peers, findTeam: () => unknowing.has(id) ? undefined : team.current, windowMs: WINDOW_MS, isFirstStart: isFirst, store, era: state.era, tolerance: TOLERANCE, clock, logger })
   }
   const unknowing = new Set<string>()
   const incarnations = new Map(IDS.map(id => [id, `${id}-1`]))
-  const members = new Map<string, TeamAllowance>()
+  const members = new Map<string, AllowanceLimiter>()
   IDS.forEach(id => members.set(id, join(id, isFirstStart)))
   const home = rankByRendezvous('depot', IDS, id => id)[0]!
   const take = async (id: string, amount: number): Promise<boolean> => {
@@ -116,13 +116,13 @@
     },
     others: IDS.filter(id => id !== home),
     setBack: ageMs => {
-      state.setBack(copies[Math.min(copies.length - 1, Math.floor(ageMs / COPY_PERIOD_MS))]!)
-      copies.splice(0, copies.length, state.copy())
+      state.restore(copies[Math.min(copies.length - 1, Math.floor(ageMs / COPY_PERIOD_MS))]!)
+      copies.splice(0, copies.length, state.snapshot())
     },
     tell: (ids = IDS) => {
       const living = ids.filter(id => members.has(id))
       living.forEach(from => living.filter(to => to !== from).forEach(to =>
-        members.get(to)!.noteSpent(incarnations.get(from)!, members.get(from)!.spent())))
+        members.get(to)!.notePeerSpending(incarnations.get(from)!, members.get(from)!.ownSpending())))
     },
     drain: async (ids, amount) => {
       const startMs = clock.monotonic()
@@ -196,7 +196,7 @@
       world.clock.schedule(forMs, () => world.join(id, { incarnation: `${id}-${turn + 100}` }))
     },
     'cut-one': (id, forMs) => {
-      others(id).forEach(other => world.network.cut(id, other))
+      others(id).forEach(other => world.network.partition(id, other))
       world.clock.schedule(forMs, () => others(id).forEach(other => world.network.heal(id, other)))
     },
     'slow-store': (_id, forMs) => {
--- a/packages/magnoliabay/src/node/serving/allowance/teamAllowance.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/allowanceLimiter.ts
@@ -10,12 +10,12 @@
 import type { Result } from '../../result'
 import type { Store } from '../../store'
 import { addCount } from '../../utils'
-import { homeOf } from '../homes'
+import { homeInstanceOf } from '../homeInstance'
 import type { Team } from '../types'
 import { createHomeLedger } from './homeLedger'
 import type { HomeLedger, LedgerLimit } from './homeLedger'
-import { createSpending } from './spending'
-import type { Spending } from './spending'
+import { createSlidingWindowCounter } from './slidingWindowCounter'
+import type { SlidingWindowCounter } from './slidingWindowCounter'
 
 /** A home answers within a round trip; longer than this, the request would be late for its objective. */
 const ASK_TIMEOUT_MS = 150
@@ -45,45 +45,45 @@
 const giveBackNotice = definePeerNotice<Pick<TakeRequest, 'team' | 'amount'>>('allowance.give-back')
 
 /** Who decided: the `home`, or the `share` of this instance alone. */
-export interface Taken {
+export interface AllowanceDecision {
   waitMs: number
   decidedBy: 'home' | 'share'
 }
 
 /** What an instance has spent of a team's allowance within the window. */
-export interface TeamSpent {
+export interface TeamSpending {
   team: string
   units: number
 }
 
-export interface TeamAllowance {
-  take (team: Team, amount: number): Promise<Taken>
+export interface AllowanceLimiter {
+  take (team: Team, amount: number): Promise<AllowanceDecision>
   /** Gives back what was taken for a request that no server ran. */
-  giveBack (team: Team, amount: number): void
+  refund (team: Team, amount: number): void
   /** What this instance has spent, for the others to know. */
-  spent (): readonly TeamSpent[]
+  ownSpending (): readonly TeamSpending[]
   /** A process told what it has spent. What it told stands for a window after its end. */
-  noteSpent (incarnation: string, spent: readonly TeamSpent[]): void
+  notePeerSpending (incarnation: string, amounts: readonly TeamSpending[]): void
   /** What this instance and those who told it have spent. */
-  spentWithBelow (): readonly TeamSpent[]
+  subtreeSpending (): readonly TeamSpending[]
   /** What all have spent, as far as they told this instance. */
-  spentByAll (): readonly TeamSpent[]
+  fleetSpending (): readonly TeamSpending[]
   /** One who hears everybody told what all have spent. */
-  noteSpentByAll (spent: readonly TeamSpent[]): void
+  noteFleetSpending (amounts: readonly TeamSpending[]): void
 }
 
 /** What a team may get beyond its limit, since instances count apart. */
 export interface AllowanceTolerance {
   /** Part of the limit. */
-  part: number
+  ratio: number
   /** Beside that, in the unit of the allowance. */
-  units: number
+  slack: number
 }
 
-export interface TeamAllowanceOptions {
+export interface AllowanceLimiterOptions {
   peers: Peers
   /** The team as configured now. */
-  teamNamed: (name: string) => Team | undefined
+  findTeam: (name: string) => Team | undefined
   /** Length of the window in which rate and burst are counted, milliseconds. */
   windowMs: number
   /** Nothing was spent before this process: the whole system starts for the first time. */
@@ -103,12 +103,12 @@
 
 const MS_PER_SECOND = 1000
 
-export function createTeamAllowance (options: TeamAllowanceOptions): TeamAllowance {
-  const { peers, teamNamed, windowMs, clock, logger } = options
+export function createAllowanceLimiter (options: AllowanceLimiterOptions): AllowanceLimiter {
+  const { peers, findTeam: teamNamed, windowMs, clock, logger } = options
   /** As home, for all instances. */
   const ledgers = new Map<string, HomeLedger>()
   /** By this instance. */
-  const own = new Map<string, Spending>()
+  const own = new Map<string, SlidingWindowCounter>()
   /** By incarnation: a process that starts anew has forgotten what the one before it spent. */
   const told = new Map<string, Told>()
   let toldOfAll: Told | undefined
@@ -118,13 +118,13 @@
   const avoidedUntilMs = new Map<string, number>()
 
   const limitOf = (team: Team): number => team.rate * windowMs / MS_PER_SECOND + team.burst
-  const toleranceOf = (team: Team): number => limitOf(team) * options.tolerance.part + options.tolerance.units
+  const toleranceOf = (team: Team): number => limitOf(team) * options.tolerance.ratio + options.tolerance.slack
   /** Has not heard what was spent in the window, and others may have spent it. */
   const isYoung = (): boolean => !options.isFirstStart && clock.monotonic() - startedMs < windowMs
   /** Whether the other members are known. Alone, each would take itself for the home of every team. */
   const isSettled = (): boolean => options.isFirstStart || peers.members().length > 1 || clock.monotonic() - startedMs > ALONE_AFTER_MS
-  const ownOf = (team: string): Spending => {
-    const found = own.get(team) ?? createSpending(windowMs)
+  const ownOf = (team: string): SlidingWindowCounter => {
+    const found = own.get(team) ?? createSlidingWindowCounter(windowMs)
     own.set(team, found)
     return found
   }
@@ -138,11 +138,11 @@
     const ofAll = toldOfAll !== undefined && isStanding(toldOfAll) ? toldOfAll.spent.get(team) ?? 0 : 0
     return Math.max(spentWithTold(team), ofAll)
   }
-  const sumsBy = (sumOf: (team: string) => number): TeamSpent[] => {
+  const sumsBy = (sumOf: (team: string) => number): TeamSpending[] => {
     const teams = new Set([...own.keys(), ...[...told.values()].flatMap(each => [...each.spent.keys()])])
     return [...teams].map(team => ({ team, units: Math.round(sumOf(team)) })).filter(({ units }) => units > 0)
   }
-  const toTold = (spent: readonly TeamSpent[]): Told => ({ spent: new Map(spent.map(({ team, units }) => [team, units])), atMs: clock.monotonic() })
+  const toTold = (spent: readonly TeamSpending[]): Told => ({ spent: new Map(spent.map(({ team, units }) => [team, units])), atMs: clock.monotonic() })
   /** The whole allowance, but for the equal parts of those who cannot ask. */
   const ledgerLimit = (team: Team): LedgerLimit => {
     const members = peers.members()
@@ -179,11 +179,11 @@
     return { waitMs: team.rate === 0 ? 0 : await takeHere(team, amount, spentApart) }
   })
   peers.listen(giveBackNotice, ({ team: name, amount }) => ledgers.get(name)?.giveBack(amount))
-  const noteOwn = (team: Team, amount: number, waitMs: number): Taken => {
+  const noteOwn = (team: Team, amount: number, waitMs: number): AllowanceDecision => {
     if (waitMs === 0) ownOf(team.name).note(amount, clock.monotonic())
     return { waitMs, decidedBy: 'home' }
   }
-  const takeShare = (team: Team, amount: number): Taken => {
+  const takeShare = (team: Team, amount: number): AllowanceDecision => {
     const parts = Math.max(1, peers.members().length)
     const ownSpent = ownOf(team.name).spent(clock.monotonic())
     // What the home itself had spent before the cut is in nobody's part: all that was told comes off first.
@@ -215,14 +215,14 @@
     return reply
   }
   peers.onConnected(member => [...apart.keys()]
-    .filter(team => homeOf(peers, team) === member.id)
+    .filter(team => homeInstanceOf(peers, team) === member.id)
     .forEach(team => askHome(member.id, team, 0)))
 
   return {
     take: async (team, amount) => {
       if (team.rate === 0) return { waitMs: 0, decidedBy: 'share' }
       if (!isSettled()) return { waitMs: ALONE_RETRY_MS, decidedBy: 'share' }
-      const home = homeOf(peers, team.name)
+      const home = homeInstanceOf(peers, team.name)
       if (home === peers.self.id) return noteOwn(team, amount, await takeHere(team, amount, takeApart(team.name)))
       // What was counted here is out of date as soon as another counts.
       dropLedger(team.name)
@@ -233,24 +233,24 @@
       logger.warn('allowance-home-unreached', { team: team.name, home, reason: reply.ok ? 'knows no such team' : reply.val.kind })
       return takeShare(team, amount)
     },
-    giveBack: (team, amount) => {
+    refund: (team, amount) => {
       if (team.rate === 0) return
       ownOf(team.name).giveBack(amount, clock.monotonic())
       // What no home has counted yet is not to be given back there.
       if ((apart.get(team.name) ?? 0) >= amount) return addCount(apart, team.name, -amount)
-      const home = homeOf(peers, team.name)
+      const home = homeInstanceOf(peers, team.name)
       if (home === peers.self.id) ledgers.get(team.name)?.giveBack(amount)
       else peers.notify(home, giveBackNotice, { team: team.name, amount })
     },
-    spent: () => [...own]
+    ownSpending: () => [...own]
       .map(([team, spending]) => ({ team, units: Math.round(spending.spent(clock.monotonic())) }))
       .filter(({ units }) => units > 0),
-    noteSpent: (incarnation, spent) => {
+    notePeerSpending: (incarnation, spent) => {
       told.forEach((each, key) => { if (clock.monotonic() - each.atMs > windowMs) told.delete(key) })
       told.set(incarnation, toTold(spent))
     },
-    spentWithBelow: () => sumsBy(spentWithTold),
-    spentByAll: () => sumsBy(spentOverall),
-    noteSpentByAll: spent => { toldOfAll = toTold(spent) }
+    subtreeSpending: () => sumsBy(spentWithTold),
+    fleetSpending: () => sumsBy(spentOverall),
+    noteFleetSpending: spent => { toldOfAll = toTold(spent) }
   }
 }
--- a/packages/magnoliabay/src/node/serving/allowance/recordsByPeer.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/peerFallbackStore.ts
@@ -21,17 +21,17 @@
 
 export type RecordStore = Pick<Store, 'get' | 'transact'>
 
-export interface RecordsByPeerOptions {
+export interface PeerFallbackStoreOptions {
   peers: Peers
   store: RecordStore
   /** The last call that the store answered here is older than one that it did not. */
-  isOutOfReach: () => boolean
+  isStoreUnreachable: () => boolean
   /** Peers that are likely in touch with the store, the likeliest first. */
-  peersAtStore: () => readonly string[]
+  peersWithStoreAccess: () => readonly string[]
 }
 
 /** Serves reads and writes for others as well. */
-export function createRecordsByPeer ({ peers, store, isOutOfReach, peersAtStore }: RecordsByPeerOptions): RecordStore {
+export function createPeerFallbackStore ({ peers, store, isStoreUnreachable: isOutOfReach, peersWithStoreAccess: peersAtStore }: PeerFallbackStoreOptions): RecordStore {
   const toDone = <T>(res: Result<T, StoreError>): Done<T> => res.ok ? { kind: 'done', value: res.val } : { kind: 'failed', err: res.val }
   peers.serve(readCall, async ({ key }) => toDone(await store.get(key)))
   peers.serve(writeCall, async transaction => toDone(await store.transact(transaction)))
--- a/packages/magnoliabay/src/node/serving/allowance/spending.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/slidingWindowCounter.ts
@@ -3,7 +3,7 @@
  * its burst: a bucket of the same rate and burst would refuse a team that comes in clumps though it stays within that.
  */
 
-export interface Spending {
+export interface SlidingWindowCounter {
   /** Spends `amount` if that keeps the window within `limit`; else returns milliseconds until it might, 0 when spent. */
   take (amount: number, limit: number, nowMs: number): number
   /** Counts what was spent elsewhere. */
@@ -24,7 +24,7 @@
   amount: number
 }
 
-export function createSpending (windowMs: number): Spending {
+export function createSlidingWindowCounter (windowMs: number): SlidingWindowCounter {
   let slots: Slot[] = []
   let total = 0
 
--- a/packages/magnoliabay/src/node/serving/allowance/spendingRecord.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/spendingRecord.ts
@@ -2,9 +2,9 @@
  * What a team has spent, as its home keeps it in the store for the home after it. A home may grant only what it has
  * reserved there beforehand, so that the record and its reserve are never less than what was really spent.
  */
-import { STORE_LEDGERS } from '../../constants'
+import { LEDGERS_PREFIX } from '../../constants'
 import { parseJson } from '../../utils'
-import type { Spending } from './spending'
+import type { SlidingWindowCounter } from './slidingWindowCounter'
 
 export interface SpendingRecord {
   /** The process that wrote it. */
@@ -24,7 +24,7 @@
 /** While anything spent is in the window, the record is brought up to date this often: one call of the store for each team, milliseconds. */
 export const RECORD_PERIOD_MS = 2000
 
-export const spendingKey = (team: string): string => `${STORE_LEDGERS}/spent/${team}`
+export const spendingKey = (team: string): string => `${LEDGERS_PREFIX}/spent/${team}`
 
 /** Undefined where the text is no record: another writer's, or damaged. */
 export function readSpendingRecord (text: string): SpendingRecord | undefined {
@@ -52,7 +52,7 @@
  * Counts a record as if it had just been written: how long ago that was only clocks of the time of day could tell, and
  * they jump. It costs a team what its own rate frees in the second or two that a restart takes.
  */
-export function countRecord (spending: Spending, record: Pick<SpendingRecord, 'byAge' | 'reserved'>, windowMs: number, nowMs: number): void {
+export function countRecord (spending: SlidingWindowCounter, record: Pick<SpendingRecord, 'byAge' | 'reserved'>, windowMs: number, nowMs: number): void {
   record.byAge.forEach((amount, part) => { if (amount > 0) spending.note(amount, nowMs - part * windowMs / RECORD_PARTS) })
   if (record.reserved > 0) spending.note(record.reserved, nowMs)
 }
--- a/packages/magnoliabay/src/node/serving/attempt.ts
+++ b/packages/magnoliabay/src/node/serving/attempt.ts
@@ -1,7 +1,7 @@
 /** One attempt of a request at one backend server: sends it, relays the answer, and tells how it ended. */
 import type { ServerResponse } from 'node:http'
 import type { EventStream } from './eventStream'
-import type { AnswerHead, Connections, Exchange } from './exchange'
+import type { ResponseHead, Connections, Exchange } from './exchange'
 import type { BackendServer } from './types'
 
 /** Whole answers up to this size are held until they are complete, so that a cut one can be replaced, bytes. */
@@ -10,7 +10,7 @@
 const MAX_UNSENT_BYTES = 4_194_304
 
 /** What an answer's head says, decoded. */
-export interface AnswerMarks {
+export interface ResponseMetadata {
   attemptId: string | undefined
   isNotRun: boolean
   isSigned: boolean
@@ -31,7 +31,7 @@
 
 /** A failure that the server itself answered, whole. */
 export interface WholeAnswer {
-  head: AnswerHead
+  head: ResponseHead
   body: Buffer
 }
 
@@ -46,7 +46,7 @@
   events: EventStream | undefined
   attemptId: string
   res: ServerResponse
-  decodeAnswer: (head: AnswerHead) => AnswerMarks
+  decodeAnswer: (head: ResponseHead) => ResponseMetadata
   returnedHeaders: (rawHeaders: readonly string[]) => string[]
   /** Whether an answer of this status is to be held back, since the request may be tried elsewhere. */
   holdsBack: (status: number) => boolean
@@ -73,7 +73,7 @@
   const isContinuing = res.headersSent
   let settle: (end: AttemptEnd) => void = () => {}
   const ended = new Promise<AttemptEnd>(resolve => { settle = resolve })
-  let head: AnswerHead | undefined
+  let head: ResponseHead | undefined
   let isRejected = false
   let problem: string | undefined
   let held: Buffer[] = []
@@ -93,7 +93,7 @@
     problem = reason
     exchange.cancel(reason)
   }
-  const onHead = (answer: AnswerHead): void => {
+  const onHead = (answer: ResponseHead): void => {
     head = answer
     options.onHeard?.()
     const marks = options.decodeAnswer(answer)
--- a/packages/magnoliabay/src/node/serving/coldStarts.ts
+++ b/packages/magnoliabay/src/node/serving/coldStarts.ts
@@ -9,8 +9,8 @@
 import type { Logger } from '../logger'
 import { definePeerCall } from '../members'
 import type { Peers } from '../members'
-import { homeOf } from './homes'
-import { processOf } from './types'
+import { homeInstanceOf } from './homeInstance'
+import { serverProcessId } from './types'
 import type { BackendServer, ColdStart } from './types'
 
 const admitCall = definePeerCall<{ process: string, most: number }, { isAdmitted: boolean }>('serving.admit-cold')
@@ -24,9 +24,9 @@
 const MAX_COUNTED = 1000
 
 /** What the users allow at a cold server in a second, over all instances: part of its rate, and requests beside that. */
-export interface ColdTolerance {
-  part: number
-  requests: number
+export interface ColdRateTolerance {
+  ratio: number
+  slack: number
 }
 
 export interface ColdStarts {
@@ -43,7 +43,7 @@
   coldMs: (process: string) => number
   /** Since the evacuation of its failure domain ended, after which servers come back cold, milliseconds. */
   backSinceMs: (failureDomain: string) => number
-  tolerance: ColdTolerance
+  tolerance: ColdRateTolerance
   clock: Clock
   logger: Logger
 }
@@ -66,13 +66,13 @@
     isCold: server => {
       const start = options.startOf(server.service)
       if (start === undefined) return false
-      return options.coldMs(processOf(server)) > 0 || options.backSinceMs(server.failureDomain) < start.lastsMs
+      return options.coldMs(serverProcessId(server)) > 0 || options.backSinceMs(server.failureDomain) < start.durationMs
     },
     admit: async server => {
-      const process = processOf(server)
+      const process = serverProcessId(server)
       const perSecond = options.startOf(server.service)?.requestsPerSecond ?? 0
-      const most = Math.floor((perSecond * options.tolerance.part + options.tolerance.requests) * HOME_PART)
-      const home = homeOf(peers, process)
+      const most = Math.floor((perSecond * options.tolerance.ratio + options.tolerance.slack) * HOME_PART)
+      const home = homeInstanceOf(peers, process)
       if (home === peers.self.id) return grant(process, most)
       const reply = await peers.call(home, admitCall, { process, most }, { timeoutMs: ASK_TIMEOUT_MS })
       if (reply.err) logger.info('cold-server-not-asked', { server: server.id, home, reason: reply.val.kind })
--- a/packages/magnoliabay/src/node/serving/goneServers.ts
+++ b/packages/magnoliabay/src/node/serving/departedServers.ts
@@ -2,26 +2,26 @@
 import type { EngineCalls } from './engineCalls'
 import type { Connections } from './exchange'
 import type { ServerHealth } from './serverHealth'
-import type { Servers } from './servers'
-import { processOf } from './types'
+import type { ServerList } from './serverList'
+import { serverProcessId } from './types'
 
 export interface GoneServersOptions {
-  servers: Pick<Servers, 'all' | 'onChanged'>
+  servers: Pick<ServerList, 'all' | 'onChanged'>
   health: Pick<ServerHealth, 'inFlight' | 'forget'>
   connections: Pick<Connections, 'forget'>
-  engines: Pick<EngineCalls, 'forget'>
+  engines: Pick<EngineCalls, 'closeConnections'>
 }
 
 export function forgetGoneServers ({ servers, health, connections, engines }: GoneServersOptions): void {
   /** Addresses by process. */
   let known = new Map<string, string>()
   servers.onChanged(() => {
-    const now = new Map(servers.all().map(server => [processOf(server), server.address]))
+    const now = new Map(servers.all().map(server => [serverProcessId(server), server.address]))
     const gone = [...known].filter(([process]) => !now.has(process))
     gone.forEach(([process, address]) => {
       if (health.inFlight(process) === 0) health.forget(process)
       connections.forget(address)
-      engines.forget(address)
+      engines.closeConnections(address)
     })
     known = now
   })
--- a/packages/magnoliabay/src/node/serving/spread.ts
+++ b/packages/magnoliabay/src/node/serving/dissemination.ts
@@ -8,19 +8,19 @@
 import type { Logger } from '../logger'
 import { definePeerCall } from '../members'
 import type { MemberList, MemberRecord, PeerCall, Peers } from '../members'
-import type { ConfigInForce } from './configInForce'
+import type { ServingConfigProvider } from './servingConfigProvider'
 import { configNotice, evacuationNotice, membersNotice, serversNotice } from './fleetMessages'
-import type { FleetSummary, Leading, ListedServer } from './fleetMessages'
-import { packText, unpackText } from './packedText'
+import type { FleetSummary, LeadershipTerm, ListedServer } from './fleetMessages'
+import { packText, unpackText } from './compressedText'
 import type { EvacuationState, Evacuations } from './evacuations'
-import type { Servers } from './servers'
+import type { ServerList } from './serverList'
 
 /** What an instance knows of the store, for one that does not reach it. */
 export interface News {
   configVersion: number
   storeAgeMs: number
   /** The claim by which an instance leads, as far as it knows. */
-  leading: Leading | undefined
+  leading: LeadershipTerm | undefined
   leavingServers: readonly string[]
   isListKnown: boolean
   evacuation: EvacuationState
@@ -48,14 +48,14 @@
 
 export interface SpreadOptions {
   peers: Peers
-  cfg: ConfigInForce
-  servers: Servers
+  cfg: ServingConfigProvider
+  servers: ServerList
   evacuations: Evacuations
   members: MemberList
   /** Milliseconds since the store last answered here. */
   storeAgeMs: () => number
   /** The claim by which an instance leads, as far as known here. */
-  leading: () => Leading | undefined
+  leading: () => LeadershipTerm | undefined
   /** Those who report here, and follow what this instance knows. */
   followers: () => readonly string[]
   /** This instance leads, and relays pass on what it tells. */
@@ -67,7 +67,7 @@
   /** Whether the member watches the store for this instance. */
   isProxy: (member: string) => boolean
   /** A peer tells who leads. */
-  onLeaderTold: (leading: Leading) => void
+  onLeaderTold: (leading: LeadershipTerm) => void
   clock: Clock
   logger: Logger
   random: () => number
@@ -100,19 +100,19 @@
   }
   const takeConfig = (member: string, packed: Uint8Array): void => {
     const text = unpackText(packed)
-    if (text.ok) cfg.offer(text.val, 'peer')
+    if (text.ok) cfg.applyIfNewer(text.val, 'peer')
     else logger.warn('config-unreadable', { source: 'peer', peer: member, reason: text.val })
   }
 
   peers.serve(configCall, () => ({ packed: packedConfig() }))
   peers.serve(serversCall, () => ({ servers: servers.isKnown() ? servers.listed() : [] }))
-  peers.serve(membersCall, () => ({ members: members.listed() }))
+  peers.serve(membersCall, () => ({ members: members.records() }))
   peers.serve(newsCall, () => ({ configVersion: cfg.version(), storeAgeMs: storeAgeMs(), leading: options.leading(), leavingServers: servers.leaving(), isListKnown: servers.isKnown(), evacuation: options.evacuations.state() }))
-  peers.listen(serversNotice, notice => servers.follow(notice))
+  peers.listen(serversNotice, notice => servers.applyChanges(notice))
   peers.listen(evacuationNotice, state => options.evacuations.noteTold(state))
   peers.listen(configNotice, ({ packed }, from) => takeConfig(from.id, packed))
   // One who reads the members itself is not to go back to what another knew before.
-  peers.listen(membersNotice, (changes, from) => { if (options.isFollowing() || options.isProxy(from.id)) members.follow(changes) })
+  peers.listen(membersNotice, (changes, from) => { if (options.isFollowing() || options.isProxy(from.id)) members.applyChanges(changes) })
 
   const fetchConfig = async (member: string): Promise<void> => {
     if (isFetchingConfig) return
@@ -133,8 +133,8 @@
       else logger.info('list-not-fetched', { list: call.kind, peer: member, reason: reply.val.kind })
     }
   }
-  const fetchServers = createFetch(serversCall, reply => { if (reply.servers.length > 0) servers.adopt(reply.servers) })
-  const fetchMembers = createFetch(membersCall, reply => { if (reply.members.length > 0) members.adopt(reply.members) })
+  const fetchServers = createFetch(serversCall, reply => { if (reply.servers.length > 0) servers.replaceAll(reply.servers) })
+  const fetchMembers = createFetch(membersCall, reply => { if (reply.members.length > 0) members.replaceAll(reply.members) })
 
   /** All changes of a moment go in one notice for each list. */
   const tellChanges = (): void => {
@@ -183,7 +183,7 @@
     const isPeerBetter = news.storeAgeMs < storeAgeMs()
     if (news.leading !== undefined) options.onLeaderTold(news.leading)
     // Without members it could report to nobody, and be told nothing.
-    if (members.listed().length === 0) await fetchMembers(member)
+    if (members.records().length === 0) await fetchMembers(member)
     if (news.isListKnown && (isPeerBetter || !servers.isKnown())) await fetchServers(member)
   }
   const noteConfigVersion = (member: string, version: number): void => {
--- a/packages/magnoliabay/src/node/serving/engineCalls.ts
+++ b/packages/magnoliabay/src/node/serving/engineCalls.ts
@@ -6,14 +6,14 @@
   /** Start of the engine's process, where the report tells it. */
   bornMs: number | undefined
   /** An order for a model is being carried out. */
-  isBusy: boolean
+  isOrderPending: boolean
   /** Orders accepted since the engine's process started. */
-  orders: number
+  acceptedOrders: number
   waiting: number
   running: number
   models: readonly LoadedModel[]
   /** `model/adapter` of adapters being loaded; they take places already. */
-  adaptersOnTheWay: readonly string[]
+  loadingAdapters: readonly string[]
   copies: { memory: readonly string[], disk: readonly string[] }
 }
 
@@ -36,8 +36,8 @@
 export type OrderOutcome = 'accepted' | 'holds-already' | 'conflict' | 'fenced-off' | 'refused' | 'other-server' | 'unanswered'
 
 export interface EngineCalls {
-  report (server: BackendServer): Promise<Result<EngineReport, string>>
-  order (server: BackendServer, order: EngineOrder): Promise<OrderOutcome>
+  fetchReport (server: BackendServer): Promise<Result<EngineReport, string>>
+  sendOrder (server: BackendServer, engineOrder: EngineOrder): Promise<OrderOutcome>
   /** Closes connections to an address that is no longer in use. */
-  forget (address: string): void
+  closeConnections (address: string): void
 }
--- a/packages/magnoliabay/src/node/serving/frontDoor.ts
+++ b/packages/magnoliabay/src/node/serving/entryServer.ts
@@ -3,13 +3,13 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { Clock } from '../clock'
-import { TIMED_OUT, withDeadline } from '../clock'
-import { answerBadInput } from '../entry/badInput'
+import { TIMED_OUT, withTimeout } from '../clock'
+import { handleClientErrors } from '../entry/clientErrors'
 import { bodyMiddleware } from '../entry/middleware/body'
 import type { EntryRequest, Handler } from '../entry/types'
 import type { Logger } from '../logger'
 import { createId, listenOn, messageOf } from '../utils'
-import type { Inbound } from './run'
+import type { Inbound } from './requestRun'
 import type { CallerLimits } from './types'
 
 /** Before a configuration is known, callers are held to nothing but these. */
@@ -57,7 +57,7 @@
     })
   }
   const server = createServer({ keepAlive: true, noDelay: true, maxHeaderSize: FIRST_LIMITS.maxHeaderBytes }, handle)
-  answerBadInput(server, clock)
+  handleClientErrors(server, clock)
   const setLimits = (limits: CallerLimits): void => {
     server.headersTimeout = limits.headerTimeoutMs
     server.requestTimeout = limits.headerTimeoutMs + BODY_TIMEOUT_MS
@@ -76,7 +76,7 @@
     close: async drainMs => {
       const closed = new Promise<void>(resolve => { server.close(() => resolve()) })
       server.closeIdleConnections()
-      if (await withDeadline(clock, drainMs, closed) !== TIMED_OUT) return
+      if (await withTimeout(clock, drainMs, closed) !== TIMED_OUT) return
       logger.warn('requests-cut-by-shutdown', { open })
       server.closeAllConnections()
     }
--- a/packages/magnoliabay/src/node/serving/evacuations.ts
+++ b/packages/magnoliabay/src/node/serving/evacuations.ts
@@ -28,7 +28,7 @@
 
 export interface EvacuationsOptions {
   /** Monotonic milliseconds since when the store has been answering without a break. */
-  storeSteadySinceMs: () => number
+  storeReachableSinceMs: () => number
   clock: Clock
   logger: Logger
 }
@@ -36,7 +36,7 @@
 /** What a store that was away, or went back to an older copy, lacks is written again within this time, milliseconds. */
 const REWRITTEN_MS = 2500
 
-export function createEvacuations ({ storeSteadySinceMs, clock, logger }: EvacuationsOptions): Evacuations {
+export function createEvacuations ({ storeReachableSinceMs: storeSteadySinceMs, clock, logger }: EvacuationsOptions): Evacuations {
   const listeners: Array<() => void> = []
   const endedMs = new Map<string, number>()
   let current: EvacuationState = { domains: [], revision: 0 }
--- a/packages/magnoliabay/src/node/serving/exchange.ts
+++ b/packages/magnoliabay/src/node/serving/exchange.ts
@@ -29,7 +29,7 @@
   body: Buffer
 }
 
-export interface AnswerHead {
+export interface ResponseHead {
   status: number
   headers: IncomingHttpHeaders
   rawHeaders: readonly string[]
@@ -42,7 +42,7 @@
 export type ExchangeEnd = 'whole' | 'unsent' | 'broken'
 
 export interface AnswerSink {
-  onHead (head: AnswerHead): void
+  onHead (head: ResponseHead): void
   onData (chunk: Buffer): void
   /** Called exactly once, last. */
   onEnd (end: ExchangeEnd, reason: string): void
--- a/packages/magnoliabay/src/node/serving/fleetMessages.ts
+++ b/packages/magnoliabay/src/node/serving/fleetMessages.ts
@@ -2,7 +2,7 @@
 import { definePeerNotice } from '../members'
 import type { MemberChanges } from '../members'
 import type { EvacuationState } from './evacuations'
-import type { TeamSpent } from './allowance/teamAllowance'
+import type { TeamSpending } from './allowance/allowanceLimiter'
 import type { LeaderClaim } from './placement/leaderRecords'
 import type { BackendServer } from './types'
 
@@ -43,7 +43,7 @@
   leavingServers: readonly string[]
   silentServers: readonly SilentServer[]
   /** Of teams' allowances, within the window. */
-  spent: readonly TeamSpent[]
+  spent: readonly TeamSpending[]
   /** Of the reporting instance itself. */
   isReady: boolean
   /** Those who report by way of it. */
@@ -59,14 +59,14 @@
 }
 
 /** By what an instance leads, and the revision of the store at which it was claimed: a later claim has a higher one. */
-export interface Leading {
+export interface LeadershipTerm {
   claim: LeaderClaim
   revision: number
 }
 
 /** The leader to those who report to it, and by them to those below. */
 export interface FleetSummary {
-  leading: Leading
+  leading: LeadershipTerm
   /** Counts the summaries of one claim. */
   count: number
   configVersion: number
@@ -79,7 +79,7 @@
   unavailable: readonly string[]
   leavingServers: readonly string[]
   /** Of teams' allowances, over all instances, within the window. */
-  spent: readonly TeamSpent[]
+  spent: readonly TeamSpending[]
   evacuation: EvacuationState
   /** Stands for the list of servers as the leader knows it, what they hold included. */
   listDigest: string
--- a/packages/magnoliabay/src/node/serving/fleetTable.ts
+++ b/packages/magnoliabay/src/node/serving/fleetView.ts
@@ -3,13 +3,13 @@
  * up and tells everybody the sums. In a large fleet relays in between (`upstream.ts`) add up what those below report,
  * and pass on what the leader tells as it comes.
  */
-import { untilNextMoment, untilNextPeriod } from '../clock'
+import { delayToNextWallClockPeriod, delayToNextPeriod } from '../clock'
 import type { Clock } from '../clock'
 import type { MemberRecord, Peers } from '../members'
 import { reportNotice, summaryNotice } from './fleetMessages'
-import type { FleetSummary, InstanceReport, Leading, MemberState } from './fleetMessages'
+import type { FleetSummary, InstanceReport, LeadershipTerm, MemberState } from './fleetMessages'
 import { createFleetTotals } from './fleetTotals'
-import { DOUBT_MS } from './servers'
+import { DOUBT_MS } from './serverList'
 import { createUpstream } from './upstream'
 
 /** Time between two reports, for each member, so that the leader's work stays the same in a larger fleet, milliseconds. */
@@ -37,24 +37,24 @@
 /** A leader that has not heard the store for longer than this cannot tell what changed in it. */
 const MAX_LEADER_STORE_AGE_MS = 1500
 
-export interface FleetTable {
+export interface FleetView {
   /** Requests that other instances have at a server. */
-  elsewhere (server: string): number
+  inFlightElsewhere (server: string): number
   /** Requests under way for a model at a server, this instance's included; known to the leader. */
   inFlight (server: string, model: string): number
   /** Requests under way for a model at all servers; known to the leader. */
-  running (model: string): number
+  inFlightOfModel (model: string): number
   /** Known to the leader. */
   demand (model: string): { rate: number, waiting: number }
   /** Models that are asked for; known to the leader. */
-  models (): readonly string[]
+  modelsInDemand (): readonly string[]
   /** Whether callers may be sent to a member. */
   isAvailable (member: string): boolean
   /** Instances that hear nothing from a server; known to the leader. */
-  silentFor (server: string): number
+  silenceReportCount (server: string): number
 }
 
-export interface FleetTableOptions {
+export interface FleetViewOptions {
   peers: Peers
   clock: Clock
   /** Whether a link to the member stands. */
@@ -65,7 +65,7 @@
   /** What this instance and those below it have spent. */
   spentWithBelow: () => InstanceReport['spent']
   /** By what this instance leads. */
-  leading: () => Leading | undefined
+  leading: () => LeadershipTerm | undefined
   /** The latest claim that is known here, by its revision. */
   latestClaim: () => number
   /** What the leader tells beside the sums that this module keeps. */
@@ -78,7 +78,7 @@
   onSummary: (member: MemberRecord, summary: FleetSummary) => void
 }
 
-export interface FleetTeller {
+export interface FleetReporter {
   /** Begins telling. */
   start (signal: AbortSignal): void
   /** Something changed that others decide by: tells it ahead of time. */
@@ -86,9 +86,9 @@
   /** Members whose reports come here. */
   reporters (): readonly string[]
   /** The linked peer that heard the store last, by its report; known to the leader. */
-  closestToStore (): string | undefined
+  peerWithLatestStoreContact (): string | undefined
   /** Peers that are likely in touch with the store, the likeliest first. */
-  peersAtStore (): readonly string[]
+  peersWithStoreAccess (): readonly string[]
   /** Relays stand between the leader and others. */
   isRelayed (): boolean
   /** This instance is one of them. */
@@ -106,7 +106,7 @@
   atMs: number
 }
 
-export function createFleetTable (options: FleetTableOptions): FleetTable & FleetTeller {
+export function createFleetView (options: FleetViewOptions): FleetView & FleetReporter {
   const { peers, clock, own, leader } = options
   const self = peers.self.id
   const totals = createFleetTotals()
@@ -123,7 +123,7 @@
   const upstream = createUpstream({ peers, leader, silentMs: () => staleMs(), clock })
   const periodMs = (): number => upstream.isRelayed() ? RELAYED_PERIOD_MS : perMember(PERIOD_PER_MEMBER_MS, MIN_PERIOD_MS)
   const untilNextMs = (offsetMs: number): number =>
-    upstream.isRelayed() ? untilNextMoment(clock, periodMs(), offsetMs) : untilNextPeriod(clock, periodMs())
+    upstream.isRelayed() ? delayToNextWallClockPeriod(clock, periodMs(), offsetMs) : delayToNextPeriod(clock, periodMs())
   const staleMs = (): number => Math.max(MIN_STALE_MS, STALE_PERIODS * periodMs())
   const isLeading = (): boolean => leader() === self
   const standing = (): HeldSummary | undefined =>
@@ -131,7 +131,7 @@
   const sumAt = (server: string): number => isLeading() ? totals.atServer(server) : standing()?.loads.get(server) ?? 0
   const reporters = (): string[] => totals.reporters().filter(member => member !== self)
 
-  const summaryNow = (leading: Leading): FleetSummary => {
+  const summaryNow = (leading: LeadershipTerm): FleetSummary => {
     options.beforeSummary()
     summaries += 1
     return { leading, count: summaries, ...options.summary(), loads: totals.loads(), unavailable: unavailable(), leavingServers: totals.leavingServers() }
@@ -240,18 +240,18 @@
   const isToldByLeader = (): boolean => held !== undefined && held.from === held.summary.leading.claim.holder
 
   return {
-    elsewhere: server => Math.max(0, sumAt(server) - (toldLoads.get(server) ?? 0)),
+    inFlightElsewhere: server => Math.max(0, sumAt(server) - (toldLoads.get(server) ?? 0)),
     inFlight: totals.inFlight,
-    running: totals.running,
+    inFlightOfModel: totals.running,
     demand: totals.demand,
-    models: totals.models,
-    silentFor: totals.silentFor,
+    modelsInDemand: totals.models,
+    silenceReportCount: totals.silentFor,
     isAvailable: member => isLeading() ? !isAway(member) : !(standing()?.unavailable.has(member) ?? false),
     reporters,
     isRelayed: upstream.isRelayed,
     isRelay: upstream.isRelay,
-    closestToStore: () => byStoreAge()[0],
-    peersAtStore: () => {
+    peerWithLatestStoreContact: () => byStoreAge()[0],
+    peersWithStoreAccess: () => {
       const above = held === undefined ? [] : [held.summary.leading.claim.holder, held.from]
       return [...new Set([...above, ...byStoreAge()])].filter(member => member !== self)
     },
--- a/packages/magnoliabay/src/node/serving/metrics.ts
+++ b/packages/magnoliabay/src/node/serving/metrics.ts
@@ -1,8 +1,8 @@
 /** Counters and histograms of the serving path. */
 import { Counter, Gauge, Histogram } from 'prom-client'
 import type { Registry } from 'prom-client'
-import { loopTurns } from '../activity'
-import type { Activity } from '../activity'
+import { eventLoopIterations } from '../wakeups'
+import type { WakeupCounter } from '../wakeups'
 import { createRegistry } from '../metrics/registry'
 
 const LATENCY_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30]
@@ -19,7 +19,7 @@
   activity: Gauge<'cause'>
 }
 
-export function createServingMetrics (activity: Activity): ServingMetrics {
+export function createServingMetrics (activity: WakeupCounter): ServingMetrics {
   const registry = createRegistry()
   return {
     registry,
@@ -29,7 +29,7 @@
       name: 'magnoliabay_loop_turns_total',
       help: 'Turns of the event loop.',
       registers: [registry],
-      collect () { this.set(loopTurns()) }
+      collect () { this.set(eventLoopIterations()) }
     }),
     activity: new Gauge({
       name: 'magnoliabay_activity_total',
--- a/packages/magnoliabay/src/node/serving/placement/__tests__/adapters.spec.ts
+++ b/packages/magnoliabay/src/node/serving/placement/__tests__/adapterPlacement.spec.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
-import { chooseAdapterPlace, spareAdapters } from '../adapters'
-import type { AdapterHolder, HeldAdapter } from '../adapters'
+import { chooseAdapterPlace, spareAdapters } from '../adapterPlacement'
+import type { AdapterHolder, HeldAdapter } from '../adapterPlacement'
 
 const held = (adapter: string, changes: Partial<HeldAdapter> = {}): HeldAdapter => ({ model: 'm', adapter, rate: 0, isInUse: false, ...changes })
 const holder = (id: string, adapters: HeldAdapter[], changes: Partial<AdapterHolder> = {}): AdapterHolder => ({ id, load: 0, places: 2, models: ['m'], adapters, ...changes })
--- a/packages/magnoliabay/src/node/serving/placement/engineOrders.ts
+++ b/packages/magnoliabay/src/node/serving/placement/engineOrders.ts
@@ -6,14 +6,14 @@
 import { sleep } from '../../clock'
 import type { Logger } from '../../logger'
 import { addCount } from '../../utils'
-import type { ConfigInForce } from '../configInForce'
+import type { ServingConfigProvider } from '../servingConfigProvider'
 import type { EngineCalls, EngineOrder, OrderOutcome } from '../engineCalls'
-import type { Servers } from '../servers'
-import { processOf } from '../types'
+import type { ServerList } from '../serverList'
+import { serverProcessId } from '../types'
 import type { BackendServer, EngineSpec, LoadedModel, ModelSpec } from '../types'
-import { adapterPlacesTaken, createEngineBook } from './engineBook'
-import type { EngineBook, EngineEntry, PendingOrder } from './engineBook'
-import type { Leadership } from './leadership'
+import { adapterPlacesTaken, createEngineBook } from './engineStates'
+import type { EngineBook, EngineEntry, PendingOrder } from './engineStates'
+import type { LeaderElection } from './leaderElection'
 import type { WeightTier } from './plan'
 
 /** Reports lag by some hundred milliseconds and are paid for; asking more often tells nothing new. */
@@ -40,12 +40,12 @@
 
 export interface EngineOrdersOptions {
   self: string
-  leadership: Leadership
-  servers: Servers
-  cfg: ConfigInForce
+  leadership: LeaderElection
+  servers: ServerList
+  cfg: ServingConfigProvider
   engines: EngineCalls
   /** Since when the store has answered every call, monotonic milliseconds. */
-  storeSteadySinceMs: () => number
+  storeReachableSinceMs: () => number
   clock: Clock
   logger: Logger
   /** An order has come to its end: there may be something to do. */
@@ -84,7 +84,7 @@
   const queues = new Map<string, Promise<unknown>>()
 
   const engineOf = (server: BackendServer, spec: EngineSpec): Engine => {
-    const process = processOf(server)
+    const process = serverProcessId(server)
     return { server, spec, entry: book.entry(process), process }
   }
   const all = (): Engine[] => [...cfg.current()?.services.values() ?? []].flatMap(service => {
@@ -93,16 +93,16 @@
   })
   /** Asked for with each entry that changes, hundreds of times a second. */
   const find = (process: string): Engine | undefined => {
-    const server = servers.usableProcess(process)
-    const spec = server === undefined ? undefined : cfg.service(server.service)?.engine
+    const server = servers.findUsableByProcess(process)
+    const spec = server === undefined ? undefined : cfg.findService(server.service)?.engine
     return spec === undefined ? undefined : engineOf(server!, spec)
   }
   /** Nothing is to be followed while another instance gives orders. */
-  const isOrdering = (): boolean => leadership.fence() !== undefined
+  const isOrdering = (): boolean => leadership.fencingToken() !== undefined
   const specOf = (model: string): ModelSpec | undefined =>
     [...cfg.current()?.services.values() ?? []].map(service => service.engine?.models.get(model)).find(spec => spec !== undefined)
   /** Those who follow this instance's list of servers learn it from there. */
-  const tell = ({ server }: Engine, models: readonly LoadedModel[]): void => servers.noteModels(server, models)
+  const tell = ({ server }: Engine, models: readonly LoadedModel[]): void => servers.updateModels(server, models)
   const done = (engine: Engine, before: PendingOrder, source: string): void => {
     logger.info('order-done', { server: engine.server.id, operation: before.operation, model: before.model, source, tookMs: Math.round(clock.monotonic() - before.sentMs), expectedMs: before.expectedMs })
     tell(engine, book.entry(engine.process).models)
@@ -112,7 +112,7 @@
     const { server, process } = engine
     if (asking.has(process)) return
     asking.add(process)
-    const report = await engines.report(server)
+    const report = await engines.fetchReport(server)
     asking.delete(process)
     if (report.err) return logger.debug('engine-report-missing', { server: server.id, reason: report.val })
     if (report.val.bornMs !== undefined && report.val.bornMs !== server.bornMs) return
@@ -126,16 +126,16 @@
     if (entry.orders === undefined) return true
     return entry.pending !== undefined && now - entry.pending.sentMs >= entry.pending.expectedMs
   }
-  servers.onListed(server => {
+  servers.onEntry(server => {
     if (!isOrdering()) return
-    const engine = find(processOf(server))
+    const engine = find(serverProcessId(server))
     if (engine === undefined) return
     book.noteCopies(engine.process, server.copies)
     const { pending } = engine.entry
     // After a leader was cut off from the store, entries come that were written meanwhile, one after the other. One from
     // before the order under way would pass for its end, and what it lists for what the engine holds: a model that has
     // been loaded since would be missing, and the next load be one too many. Reports tell instead.
-    if (pending === undefined || options.storeSteadySinceMs() + CATCH_UP_MS >= pending.sentMs) return
+    if (pending === undefined || options.storeReachableSinceMs() + CATCH_UP_MS >= pending.sentMs) return
     const holds = server.models.some(held => held.name === pending.model)
     if (holds !== (pending.operation === 'load')) return
     book.noteDone(engine.process, server.models)
@@ -158,9 +158,9 @@
     return next
   }
   const send = async ({ server, entry }: Engine, order: Pick<EngineOrder, 'operation' | 'model' | 'adapter'>, tier?: WeightTier): Promise<OrderOutcome> => {
-    const fence = leadership.fence()
+    const fence = leadership.fencingToken()
     if (fence === undefined || entry.orders === undefined) return 'refused'
-    const outcome = await engines.order(server, { ...order, expectedOrders: entry.orders, holder: self, fence })
+    const outcome = await engines.sendOrder(server, { ...order, expectedOrders: entry.orders, holder: self, fence })
     logger.info('order-sent', { server: server.id, operation: order.operation, model: order.model, adapter: order.adapter, tier, expectedOrders: entry.orders, fence, outcome })
     return outcome
   }
--- a/packages/magnoliabay/src/node/serving/placement/engineBook.ts
+++ b/packages/magnoliabay/src/node/serving/placement/engineStates.ts
@@ -76,7 +76,7 @@
     takeReport: (process, report, nowMs) => {
       const known = of(process)
       // Reports lag: one that has not counted an order yet does not show its effect either.
-      if (report.orders < known.leastOrders) {
+      if (report.acceptedOrders < known.leastOrders) {
         const sinceMs = known.staleSinceMs ?? nowMs
         update(process, { staleSinceMs: sinceMs, reportedMs: nowMs })
         // Longer than reports lag: the engine has started anew and counts from nothing.
@@ -84,15 +84,15 @@
       }
       // The entry told that the order is done; the report is from before, and does not show what was loaded. Taken
       // over, it would make room on paper for a model more than the engine can hold.
-      if (report.isBusy && known.orders !== undefined && known.pending === undefined) return false
-      const isDone = !report.isBusy
+      if (report.isOrderPending && known.orders !== undefined && known.pending === undefined) return false
+      const isDone = !report.isOrderPending
       update(process, {
         // An order of somebody else is under way: nothing is known until it has ended.
-        orders: report.isBusy && known.pending === undefined ? undefined : report.orders,
-        leastOrders: report.orders,
+        orders: report.isOrderPending && known.pending === undefined ? undefined : report.acceptedOrders,
+        leastOrders: report.acceptedOrders,
         models: report.models,
         copies: report.copies,
-        adaptersOnTheWay: report.adaptersOnTheWay,
+        adaptersOnTheWay: report.loadingAdapters,
         pending: isDone ? undefined : known.pending,
         reportedMs: nowMs,
         staleSinceMs: undefined
@@ -131,12 +131,12 @@
 
 /** Memory that an engine has left for weights, with everything charged that it holds, loads, or may still load. */
 export function freeWeightsMb (entry: EngineEntry, spec: EngineSpec): number {
-  const sizeOf = (model: string): number => spec.models.get(model)?.weightsMb ?? spec.weightsMb
+  const sizeOf = (model: string): number => spec.models.get(model)?.weightsMb ?? spec.weightMemoryMb
   const isPendingNew = entry.pending !== undefined && !entry.models.some(held => held.name === entry.pending!.model)
   const pendingMb = isPendingNew ? sizeOf(entry.pending!.model) : 0
   const models = entry.models.reduce((sum, held) => sum + sizeOf(held.name), 0)
   // Room for all places of adapters is kept free, so that an adapter never has to wait for weights to go.
-  return spec.weightsMb - models - pendingMb - largestAdapterMb(spec) * spec.adapterCapacity
+  return spec.weightMemoryMb - models - pendingMb - largestAdapterMb(spec) * spec.adapterCapacity
 }
 
 /** Places for adapters that an engine has given away: to those it holds, and to those on their way. */
