--- a/packages/magnoliabay/src/node/serving/placement/leadership.ts
+++ b/packages/magnoliabay/src/node/serving/placement/leaderElection.ts
@@ -4,12 +4,12 @@
  * waits before its first order.
  */
 import type { Clock } from '../../clock'
-import { TIMED_OUT, sleep, untilNextPeriod, withDeadline } from '../../clock'
+import { TIMED_OUT, sleep, delayToNextPeriod, withTimeout } from '../../clock'
 import type { Logger } from '../../logger'
 import type { Result } from '../../result'
 import type { Store, StoreError } from '../../store'
-import type { Leading } from '../fleetMessages'
-import { LAST_ORDERER_KEY, LEADER_KEY, createClaim, readLeaderRecords, versionedOf, writeClaim, writeLastOrderer } from './leaderRecords'
+import type { LeadershipTerm } from '../fleetMessages'
+import { LAST_ORDERER_KEY, LEADER_KEY, createLeaderClaim, readLeaderRecords, versionedOf, writeLeaderClaim, writeLastOrderer } from './leaderRecords'
 import type { LastOrderer, LeaderClaim, LeaderRecords, Versioned } from './leaderRecords'
 
 export { LEADER_KEY }
@@ -41,29 +41,29 @@
  */
 const SLOW_DELAY_MS = 450
 
-export interface Leadership {
+export interface LeaderElection {
   /** The number under which orders may be sent now, or undefined. */
-  fence (): number | undefined
+  fencingToken (): number | undefined
   /** Milliseconds until this instance may order; undefined where it does not hold the lease. */
-  startsInMs (): number | undefined
+  firstOrderInMs (): number | undefined
   /** Whether this instance holds the lease, though it may have to wait before its first order. */
-  isHolder (): boolean
+  isLeaseHolder (): boolean
   /** The instance that holds the lease, by the latest claim that the store or a peer has told. */
-  holder (): string | undefined
+  leaseHolder (): string | undefined
   /** By what this instance leads; undefined where it does not hold the lease. */
-  leading (): Leading | undefined
+  ownClaim (): LeadershipTerm | undefined
   /** The claim that stands, as far as known. */
-  known (): Leading | undefined
+  knownClaim (): LeadershipTerm | undefined
   /** Revision of the latest claim, or of its end, that is known. */
-  latestClaim (): number
+  latestClaimRevision (): number
   /** A peer tells of a claim. */
-  noteTold (leading: Leading): void
+  noteClaimFromPeer (claim: LeadershipTerm): void
   start (signal: AbortSignal): void
   /** Gives the lease back; no orders are sent any more. */
   resign (): Promise<void>
 }
 
-export interface LeadershipOptions {
+export interface LeaderElectionOptions {
   store: Store
   self: string
   /** Names the machine: its orders are those of one holder, whatever process sends them. */
@@ -74,17 +74,17 @@
   /** Processor time a second that this process may use, seconds. */
   processorShare: number
   /** Renews a lease by way of a peer that reaches the store; undefined where none does. */
-  renewByPeer: (leaseId: string) => Promise<Result<number, StoreError> | undefined>
+  renewLeaseViaPeer: (leaseId: string) => Promise<Result<number, StoreError> | undefined>
   /** Another leads and says so: the store need not be asked. */
   isFollowing: () => boolean
   /** Tries for the lease later than others do, milliseconds. */
-  yieldMs: () => number
+  candidacyDelayMs: () => number
   /** Of the store: it rises whenever the store goes on from an older copy of itself. */
   era: () => number
   /** The whole fleet starts for the first time, so a record that is not there was never written. */
   isFirstStart: boolean
   /** Whether the instance's process is proven to have ended. */
-  hasEnded: (instance: string) => Promise<boolean>
+  hasProcessEnded: (instance: string) => Promise<boolean>
   clock: Clock
   logger: Logger
   random: () => number
@@ -119,7 +119,7 @@
   lastRevision: number
 }
 
-export function createLeadership (options: LeadershipOptions): Leadership {
+export function createLeaderElection (options: LeaderElectionOptions): LeaderElection {
   const { store, self, machine, clock, logger } = options
   const leaseMs = Math.max(LEASE_MS, options.minLeaseMs)
   let term: Term | undefined
@@ -189,9 +189,9 @@
     const lease = await store.grantLease(leaseMs / 1000)
     if (lease.err) return
     const fromMs = firstOrderMs(known.val)
-    const claim = createClaim(self, machine)
+    const claim = createLeaderClaim(self, machine)
     const isLast = wasLast(known.val)
-    const claimed = await writeClaim(store, known.val, claim, { leaseId: lease.val, era, isLast })
+    const claimed = await writeLeaderClaim(store, known.val, claim, { leaseId: lease.val, era, isLast })
     // What was read may be of a store that has gone back to an older copy since.
     if (claimed.kind !== 'done' || options.era() !== era) {
       await store.revokeLease(lease.val)
@@ -214,10 +214,10 @@
   const renewLease = async (leaseId: string): Promise<{ sentAt: Moment, renewed: Result<number, StoreError> }> => {
     const sentAt = mark()
     const direct = store.renewLease(leaseId)
-    const first = await withDeadline(clock, RENEW_PATIENCE_MS, direct)
+    const first = await withTimeout(clock, RENEW_PATIENCE_MS, direct)
     if (first !== TIMED_OUT && (first.ok || first.val.kind === 'lease-lost')) return { sentAt, renewed: first }
     const askedAt = mark()
-    const byPeer = await options.renewByPeer(leaseId)
+    const byPeer = await options.renewLeaseViaPeer(leaseId)
     if (byPeer === undefined || byPeer.err) logger.debug('lease-not-renewed-by-peer', { lease: leaseId, reason: byPeer?.err === true ? byPeer.val.kind : 'no peer' })
     if (byPeer !== undefined && (byPeer.ok || byPeer.val.kind === 'lease-lost')) return { sentAt: askedAt, renewed: byPeer }
     return { sentAt, renewed: await direct }
@@ -239,7 +239,7 @@
   /** Ends the lease of a leader whose process has ended, so that orders go on without waiting for it to lapse. */
   const releaseEnded = async (): Promise<void> => {
     const holder = leader.value?.holder
-    if (holder === undefined || holder === self || !await options.hasEnded(holder)) return
+    if (holder === undefined || holder === self || !await options.hasProcessEnded(holder)) return
     const known = await readLeaderRecords(store)
     if (known.err || known.val.leader.value?.claim !== leader.value?.claim || known.val.leader.leaseId === undefined) return
     logger.info('orderer-ended', { holder, lease: known.val.leader.leaseId })
@@ -252,14 +252,14 @@
     if (!wasLast({ last })) {
       const age = Math.min(1, (clock.monotonic() - startedMs) / OLD_MS)
       const lacking = Math.max(0, 1 - options.processorShare)
-      await sleep(clock, options.random() * MAX_CANDIDATE_DELAY_MS + age * AGE_DELAY_MS + lacking * SLOW_DELAY_MS + options.yieldMs())
+      await sleep(clock, options.random() * MAX_CANDIDATE_DELAY_MS + age * AGE_DELAY_MS + lacking * SLOW_DELAY_MS + options.candidacyDelayMs())
       if (!mayClaim({ leader, last }) || hasResigned || options.isFollowing()) return
     }
     // Changes are gathered before they are told: in a large fleet most have missed that another has won.
     await candidate()
   }
   const untilNextMs = (): number => {
-    if (term === undefined) return untilNextPeriod(clock, options.isFollowing() ? FOLLOWER_LOOK_PERIOD_MS : LOOK_PERIOD_MS)
+    if (term === undefined) return delayToNextPeriod(clock, options.isFollowing() ? FOLLOWER_LOOK_PERIOD_MS : LOOK_PERIOD_MS)
     const untilFirstMs = term.fromMs - clock.monotonic()
     if (term.isLast) return RENEW_PERIOD_MS
     return untilFirstMs > 0 ? Math.min(RENEW_PERIOD_MS, untilFirstMs) : BEGIN_RETRY_MS
@@ -286,21 +286,21 @@
   }
 
   return {
-    fence: () => {
+    fencingToken: () => {
       if (term === undefined || hasResigned || !term.isLast || clock.monotonic() < term.fromMs) return undefined
       if (!isConfirmed()) return undefined
       return term.fence
     },
-    startsInMs: () => {
+    firstOrderInMs: () => {
       if (term === undefined || hasResigned || !isConfirmed()) return undefined
       return Math.max(0, term.fromMs - clock.monotonic())
     },
-    isHolder: () => term !== undefined && !hasResigned && isConfirmed(),
-    holder: () => leader.value?.holder,
-    leading: () => term === undefined || hasResigned || !isConfirmed() ? undefined : { claim: term.claim, revision: term.fence },
-    known: () => leader.value === undefined ? undefined : { claim: leader.value, revision: leader.revision },
-    latestClaim: () => Math.max(latestRevision, term?.fence ?? 0),
-    noteTold: ({ claim, revision }) => {
+    isLeaseHolder: () => term !== undefined && !hasResigned && isConfirmed(),
+    leaseHolder: () => leader.value?.holder,
+    ownClaim: () => term === undefined || hasResigned || !isConfirmed() ? undefined : { claim: term.claim, revision: term.fence },
+    knownClaim: () => leader.value === undefined ? undefined : { claim: leader.value, revision: leader.revision },
+    latestClaimRevision: () => Math.max(latestRevision, term?.fence ?? 0),
+    noteClaimFromPeer: ({ claim, revision }) => {
       if (revision > Math.max(latestRevision, term?.fence ?? 0)) noteLeader({ value: claim, revision, leaseId: undefined }, revision)
     },
     start: signal => {
--- a/packages/magnoliabay/src/node/serving/placement/leaderRecords.ts
+++ b/packages/magnoliabay/src/node/serving/placement/leaderRecords.ts
@@ -4,14 +4,14 @@
  * itself only after the time that keeps two holders apart. Since both change by compare-and-swap, a machine that finds
  * itself named knows that no other has ordered since, and need not wait.
  */
-import { STORE_ROOT } from '../../constants'
+import { STORE_KEY_PREFIX } from '../../constants'
 import { Ok } from '../../result'
 import type { Result } from '../../result'
 import type { Compare, KeyValue, Store, StoreError, StoreErrorKind, WriteOperation } from '../../store'
 import { createId, parseJson } from '../../utils'
 
-export const LEADER_KEY = `${STORE_ROOT}/orderer`
-export const LAST_ORDERER_KEY = `${STORE_ROOT}/last-orderer`
+export const LEADER_KEY = `${STORE_KEY_PREFIX}/orderer`
+export const LAST_ORDERER_KEY = `${STORE_KEY_PREFIX}/last-orderer`
 
 /** A claim to give orders. */
 export interface LeaderClaim {
@@ -48,7 +48,7 @@
 }
 
 /** What became of a write on condition: `lost` where another was there first. */
-export type Written = { kind: 'done', revision: number } | { kind: 'lost' } | { kind: 'failed', reason: string }
+export type ConditionalWriteResult = { kind: 'done', revision: number } | { kind: 'lost' } | { kind: 'failed', reason: string }
 
 /** The answer to these may have been lost after the write took effect. */
 const UNSURE: readonly StoreErrorKind[] = ['unknown', 'unavailable']
@@ -72,7 +72,7 @@
 const unchanged = (key: string, revision: number): Compare => ({ key, target: 'mod', equals: revision })
 
 /** After a lost answer the write may or may not have taken effect: only the key itself tells. */
-async function write (store: Store, compares: readonly Compare[], writes: readonly WriteOperation[], proof: { key: string, value: string }): Promise<Written> {
+async function write (store: Store, compares: readonly Compare[], writes: readonly WriteOperation[], proof: { key: string, value: string }): Promise<ConditionalWriteResult> {
   const put = await store.transact({ compares, writes }, { priority: 'ownership' })
   if (put.ok) return put.val.succeeded ? { kind: 'done', revision: put.val.revision } : { kind: 'lost' }
   if (!UNSURE.includes(put.val.kind)) return { kind: 'failed', reason: put.val.message }
@@ -81,7 +81,7 @@
   return entry.val?.value === proof.value ? { kind: 'done', revision: entry.val.modRevision } : { kind: 'failed', reason: put.val.message }
 }
 
-export function createClaim (holder: string, machine: string): LeaderClaim {
+export function createLeaderClaim (holder: string, machine: string): LeaderClaim {
   return { holder, machine, claim: createId('claim') }
 }
 
@@ -99,7 +99,7 @@
  * Takes the claim, if neither record has changed since it was read. One who was the last to order says so anew, so
  * that others see that orders may have gone out since.
  */
-export function writeClaim (store: Store, known: LeaderRecords, claim: LeaderClaim, { leaseId, era, isLast }: ClaimBasis): Promise<Written> {
+export function writeLeaderClaim (store: Store, known: LeaderRecords, claim: LeaderClaim, { leaseId, era, isLast }: ClaimBasis): Promise<ConditionalWriteResult> {
   const { machine } = claim
   const value = JSON.stringify(claim)
   return write(store, [unchanged(LEADER_KEY, known.leader.revision), unchanged(LAST_ORDERER_KEY, known.last.revision)], [
@@ -109,7 +109,7 @@
 }
 
 /** Names the machine as the last to order, if its claim of that revision stands and nobody has ordered meanwhile. */
-export function writeLastOrderer (store: Store, by: Pick<LastOrderer, 'machine' | 'era'>, claimRevision: number, lastRevision: number): Promise<Written> {
+export function writeLastOrderer (store: Store, by: Pick<LastOrderer, 'machine' | 'era'>, claimRevision: number, lastRevision: number): Promise<ConditionalWriteResult> {
   const value = JSON.stringify(lastOrderer(by.machine, by.era))
   return write(store, [unchanged(LEADER_KEY, claimRevision), unchanged(LAST_ORDERER_KEY, lastRevision)], [
     { kind: 'put', key: LAST_ORDERER_KEY, value }
--- a/packages/magnoliabay/src/node/serving/placement/messages.ts
+++ b/packages/magnoliabay/src/node/serving/placement/messages.ts
@@ -1,7 +1,7 @@
 /** What instances and the one that gives orders say to each other. */
 import { definePeerCall } from '../../members'
 
-export interface WantRequest {
+export interface PlacementRequest {
   model: string
   adapter: string | undefined
   /** How long the first request has waited, milliseconds. */
@@ -13,9 +13,9 @@
 /**
  * `ready`: this server has it. `coming`: in about so long. `unavailable`: nothing can be ordered at present.
  */
-export type WantReply =
+export type PlacementReply =
   | { kind: 'ready', server: string }
   | { kind: 'coming', inMs: number }
   | { kind: 'unavailable' }
 
-export const wantCall = definePeerCall<WantRequest, WantReply>('placement.want')
+export const placementCall = definePeerCall<PlacementRequest, PlacementReply>('placement.want')
--- a/packages/magnoliabay/src/node/serving/placement/leaseByPeer.ts
+++ b/packages/magnoliabay/src/node/serving/placement/peerLeaseRenewal.ts
@@ -20,15 +20,15 @@
 /** A peer in touch with the store answers in milliseconds, while the store is slow in tenths of a second. */
 const RENEW_TIMEOUT_MS = 700
 
-export interface LeaseByPeerOptions {
+export interface PeerLeaseRenewalOptions {
   peers: Peers
   store: Pick<Store, 'renewLease'>
   /** The peer that heard the store last, as far as known. */
-  closestToStore: () => string | undefined
+  peerWithLatestStoreContact: () => string | undefined
 }
 
 /** Serves renewals for others as well. */
-export function createLeaseByPeer ({ peers, store, closestToStore }: LeaseByPeerOptions): (leaseId: string) => Promise<Result<number, StoreError> | undefined> {
+export function createPeerLeaseRenewal ({ peers, store, peerWithLatestStoreContact: closestToStore }: PeerLeaseRenewalOptions): (leaseId: string) => Promise<Result<number, StoreError> | undefined> {
   peers.serve(renewCall, async ({ leaseId }): Promise<RenewReply> => {
     const renewed = await store.renewLease(leaseId)
     return renewed.ok ? { kind: 'renewed', secondsLeft: renewed.val } : { kind: 'failed', error: renewed.val }
--- a/packages/magnoliabay/src/node/serving/placement/orderer.ts
+++ b/packages/magnoliabay/src/node/serving/placement/placementController.ts
@@ -2,27 +2,27 @@
  * The instance that gives orders to engines: hears what is wanted, plans what is loaded where, and has it ordered.
  */
 import type { Clock } from '../../clock'
-import { sleep, untilNextPeriod } from '../../clock'
+import { sleep, delayToNextPeriod } from '../../clock'
 import type { Logger } from '../../logger'
 import type { Peers } from '../../members'
-import { createAverage } from '../average'
-import type { Average } from '../average'
-import type { ConfigInForce } from '../configInForce'
+import { createDecayingAverage } from '../decayingAverage'
+import type { DecayingAverage } from '../decayingAverage'
+import type { ServingConfigProvider } from '../servingConfigProvider'
 import type { EngineCalls } from '../engineCalls'
-import type { FleetTable } from '../fleetTable'
-import type { Servers } from '../servers'
+import type { FleetView } from '../fleetView'
+import type { ServerList } from '../serverList'
 import type { EngineSpec, ModelSpec } from '../types'
-import { chooseAdapterPlace, spareAdapters } from './adapters'
-import type { AdapterHolder } from './adapters'
-import { freeWeightsMb } from './engineBook'
+import { chooseAdapterPlace, spareAdapters } from './adapterPlacement'
+import type { AdapterHolder } from './adapterPlacement'
+import { freeWeightsMb } from './engineStates'
 import { createEngineOrders } from './engineOrders'
 import type { Engine } from './engineOrders'
-import type { Leadership } from './leadership'
-import { wantCall } from './messages'
-import type { WantReply, WantRequest } from './messages'
+import type { LeaderElection } from './leaderElection'
+import { placementCall } from './messages'
+import type { PlacementReply, PlacementRequest } from './messages'
 import { planSteps, tierOf } from './plan'
 import type { EnginePlan, ModelNeed, PlanStep, WeightTier } from './plan'
-import { createStoreLoads } from './storeLoads'
+import { createWeightLoadLimiter } from './weightLoadLimiter'
 
 /** How often the plan is made anew, milliseconds; a waiting request and the end of an order make it at once. */
 const TICK_MS = 100
@@ -45,15 +45,15 @@
 /** When an adapter that could not be ordered now is worth asking for again, milliseconds. */
 const ADAPTER_RETRY_MS = 250
 
-export interface OrdererOptions {
+export interface PlacementControllerOptions {
   self: string
-  leadership: Leadership
-  servers: Servers
-  cfg: ConfigInForce
-  table: FleetTable
+  leadership: LeaderElection
+  servers: ServerList
+  cfg: ServingConfigProvider
+  table: FleetView
   engines: EngineCalls
   /** Since when the store has answered every call, monotonic milliseconds. */
-  storeSteadySinceMs: () => number
+  storeReachableSinceMs: () => number
   peers: Peers
   clock: Clock
   logger: Logger
@@ -75,19 +75,19 @@
   sinceMs: number
 }
 
-export interface Orderer {
+export interface PlacementController {
   /** Whether the end of an order is awaited. */
-  isWaiting (): boolean
+  hasPendingOrders (): boolean
   start (signal: AbortSignal): void
-  want (req: WantRequest): Promise<WantReply>
+  want (req: PlacementRequest): Promise<PlacementReply>
 }
 
-export function createOrderer (options: OrdererOptions): Orderer {
+export function createPlacementController (options: PlacementControllerOptions): PlacementController {
   const { leadership, cfg, table, peers, clock, logger } = options
   const wants = new Map<string, Want>()
   const lastActiveMs = new Map<string, number>()
   /** Of requests under way for each model. */
-  const averages = new Map<string, Average>()
+  const averages = new Map<string, DecayingAverage>()
   const promised = new Map<string, Promised>()
   const engineSpecs = (): EngineSpec[] => [...cfg.current()?.services.values() ?? []].flatMap(service => service.engine ?? [])
   let known: { version: number, specs: ReadonlyMap<string, ModelSpec> } | undefined
@@ -95,7 +95,7 @@
     if (known?.version !== cfg.version()) known = { version: cfg.version(), specs: new Map(engineSpecs().flatMap(spec => [...spec.models])) }
     return known!.specs
   }
-  const storeLoads = createStoreLoads({
+  const storeLoads = createWeightLoadLimiter({
     windowMs: options.loadWindowMs,
     loadsPerSecond: () => Math.min(...engineSpecs().map(spec => spec.storeLoadsPerSecond))
   })
@@ -168,22 +168,22 @@
       busyMs: isFree(engine) ? 0 : Math.max(1, busyMs(engine)),
       isFetching: storeLoads.isLoading(process),
       // One instance may have lost its own path to the engine; two have not.
-      isSound: (entry.orders !== undefined || entry.models.length > 0) && table.silentFor(process) < UNSOUND_TELLERS,
+      isSound: (entry.orders !== undefined || entry.models.length > 0) && table.silenceReportCount(process) < UNSOUND_TELLERS,
       copies: entry.copies,
       inFlight: new Map(models.map(model => [model, table.inFlight(process, model)])),
       slots: server.slots
     }
   }
   const steadyInFlight = (model: string, inFlight: number): number => {
-    const average = averages.get(model) ?? createAverage(STEADY_MS)
+    const average = averages.get(model) ?? createDecayingAverage(STEADY_MS)
     averages.set(model, average)
-    return average.note(inFlight, clock.monotonic())
+    return average.update(inFlight, clock.monotonic())
   }
   const needOf = (model: string): ModelNeed => {
     const now = clock.monotonic()
     const demand = table.demand(model)
     const want = wants.get(model)
-    const inFlight = table.running(model)
+    const inFlight = table.inFlightOfModel(model)
     const waiting = Math.max(demand.waiting, want === undefined ? 0 : 1)
     if (inFlight + waiting > 0) lastActiveMs.set(model, now)
     return {
@@ -233,7 +233,7 @@
     logger.info('orderer-begins', { fence, engines: orders.all().length })
   }
   const step = (): void => {
-    const fence = leadership.fence()
+    const fence = leadership.fencingToken()
     // A pause of the same term changes nothing of what is known: nobody else has ordered meanwhile. One that may order
     // at once may not know yet what there is.
     if (fence === undefined || cfg.current() === undefined || !options.servers.isKnown()) return
@@ -243,7 +243,7 @@
     orders.askReports()
     orders.all().forEach(keepPromise)
     const plans = orders.all().map(planOf)
-    const names = new Set([...table.models(), ...wants.keys(), ...plans.flatMap(plan => plan.models)])
+    const names = new Set([...table.modelsInDemand(), ...wants.keys(), ...plans.flatMap(plan => plan.models)])
     const needs = [...names].filter(model => !model.includes('/')).map(needOf)
     planSteps({ engines: plans, needs, specs: specs(), storeLoads: storeLoads.left(now) }).forEach(carryOut)
     if (now - sparedMs < SPARE_PERIOD_MS) return
@@ -294,7 +294,7 @@
     spareAdapters(orders.all().map(adapterHolder), free.map(engine => engine.process), namesOf)
       .forEach(({ id, model, adapter }) => { orders.loadAdapter(id, model, adapter) })
   }
-  const wantAdapter = async (model: string, adapter: string): Promise<WantReply> => {
+  const wantAdapter = async (model: string, adapter: string): Promise<PlacementReply> => {
     const holders = orders.all().filter(engine => engine.entry.models.some(held => held.name === model))
     const open = holders.filter(engine => engine.entry.orders !== undefined && engine.entry.pending === undefined)
     const place = chooseAdapterPlace(open.map(adapterHolder), model, adapter)
@@ -318,7 +318,7 @@
     if (tierFor(model) === 'store') return loadMsOf(model, 'store', queued.filter(name => tierFor(name) === 'store').length)
     return SWAP_MS * (1 + queued.length / Math.max(1, engines.length))
   }
-  const wantModel = (req: WantRequest, expectedMs = comingMs(req.model) ?? queuedMs(req.model)): WantReply => {
+  const wantModel = (req: PlacementRequest, expectedMs = comingMs(req.model) ?? queuedMs(req.model)): PlacementReply => {
     const now = clock.monotonic()
     const before = wants.get(req.model)
     const inMs = Math.round(expectedMs)
@@ -328,25 +328,25 @@
     if (before === undefined) tickSoon()
     return { kind: 'coming', inMs }
   }
-  const want = async (req: WantRequest): Promise<WantReply> => {
-    const startsInMs = leadership.startsInMs()
+  const want = async (req: PlacementRequest): Promise<PlacementReply> => {
+    const startsInMs = leadership.firstOrderInMs()
     if (startsInMs === undefined) return { kind: 'unavailable' }
     // Nothing is known of the engines yet: a swap is what most models take, once orders are given again.
     if (startsInMs > 0) return wantModel(req, startsInMs + SWAP_MS)
-    const isHeld = orders.all().some(({ entry, process }) => table.silentFor(process) < UNSOUND_TELLERS && entry.models.some(held => held.name === req.model))
+    const isHeld = orders.all().some(({ entry, process }) => table.silenceReportCount(process) < UNSOUND_TELLERS && entry.models.some(held => held.name === req.model))
     if (req.adapter === undefined || !isHeld) return wantModel(req)
     return await wantAdapter(req.model, req.adapter)
   }
-  peers.serve(wantCall, want)
+  peers.serve(placementCall, want)
 
   return {
     want,
-    isWaiting: orders.isWaiting,
+    hasPendingOrders: orders.isWaiting,
     start: signal => {
       const loop = async (): Promise<void> => {
         while (!signal.aborted) {
           tick()
-          await sleep(clock, leadership.isHolder() ? TICK_MS : untilNextPeriod(clock, REST_MS), signal)
+          await sleep(clock, leadership.isLeaseHolder() ? TICK_MS : delayToNextPeriod(clock, REST_MS), signal)
         }
       }
       loop()
--- a/packages/magnoliabay/src/node/serving/placement/plan.ts
+++ b/packages/magnoliabay/src/node/serving/placement/plan.ts
@@ -38,7 +38,7 @@
   idleMs: number
 }
 
-export interface PlanInput {
+export interface PlacementPlanInput {
   engines: readonly EnginePlan[]
   needs: readonly ModelNeed[]
   specs: ReadonlyMap<string, ModelSpec>
@@ -116,7 +116,7 @@
 const NO_VICTIMS: VictimSet = { victims: [], delayMs: 0, lost: 0 }
 
 /** The steps to take now, at most one for an engine. */
-export function planSteps (input: PlanInput): PlanStep[] {
+export function planSteps (input: PlacementPlanInput): PlanStep[] {
   const engines = new Map(input.engines.filter(engine => engine.isSound).map(engine => [engine.id, engine]))
   const engineCount = engines.size
   const needs = new Map(input.needs.map(need => [need.model, need]))
@@ -218,7 +218,7 @@
  * beside twelve engines of which each would have had to give up two. Worked out once for each engine and size, of which
  * there are few: for each need anew it took a third of the leader's processor at 63 engines.
  */
-function createVictimSets (input: PlanInput, needs: ReadonlyMap<string, ModelNeed>, replicas: (model: string) => number): (engine: EnginePlan, weightsMb: number) => readonly VictimSet[] {
+function createVictimSets (input: PlacementPlanInput, needs: ReadonlyMap<string, ModelNeed>, replicas: (model: string) => number): (engine: EnginePlan, weightsMb: number) => readonly VictimSet[] {
   const known = new Map<EnginePlan, Map<number, readonly VictimSet[]>>()
   const sizeOf = (model: string): number => input.specs.get(model)?.weightsMb ?? 0
   const setOf = (engine: EnginePlan, victims: readonly string[]): VictimSet => {
--- a/packages/magnoliabay/src/node/serving/placement/storeLoads.ts
+++ b/packages/magnoliabay/src/node/serving/placement/weightLoadLimiter.ts
@@ -3,13 +3,13 @@
  * at full speed is nowhere told; with more, each takes longer in proportion, so it is learned from how long they took.
  */
 
-export interface StoreLoadsOptions {
+export interface WeightLoadLimiterOptions {
   /** Window in which loads are counted, milliseconds. */
   windowMs: number
   loadsPerSecond: () => number
 }
 
-export interface StoreLoads {
+export interface WeightLoadLimiter {
   /** Loads that may begin now. */
   left (nowMs: number): number
   /** An engine begins one, or may have begun it. */
@@ -39,7 +39,7 @@
   beside: number
 }
 
-export function createStoreLoads ({ windowMs, loadsPerSecond }: StoreLoadsOptions): StoreLoads {
+export function createWeightLoadLimiter ({ windowMs, loadsPerSecond }: WeightLoadLimiterOptions): WeightLoadLimiter {
   let begun: number[] = []
   const underWay = new Map<string, UnderWay>()
   let atOnce = FIRST_AT_ONCE
--- a/packages/magnoliabay/src/node/serving/reasons.ts
+++ b/packages/magnoliabay/src/node/serving/refusalReasons.ts
@@ -1,7 +1,7 @@
 /** What each reason for an end without an answer means, for those who look into it afterwards. */
-import type { EndReason } from './outcome'
+import type { EndReason } from './refusal'
 
-export const REASON_MEANINGS: Readonly<Record<EndReason, string>> = {
+export const REFUSAL_REASON_DESCRIPTIONS: Readonly<Record<EndReason, string>> = {
   'no-config': 'The instance knew no configuration yet: it had just started, and neither the store nor a peer had told it one.',
   'no-route': 'No route of the configuration in force matches host and path. Compare the version with the one that has the route.',
   'unknown-key': 'No team of the configuration in force holds the key, or none was sent. Compare the version with the one that has the key.',
--- a/packages/magnoliabay/src/node/serving/relays.ts
+++ b/packages/magnoliabay/src/node/serving/relays.ts
@@ -7,7 +7,7 @@
 import { rankByRendezvous, stableHash } from '../utils'
 
 /** Up to so many members everybody talks to the leader. */
-export const STAR_MOST = 32
+export const MAX_MEMBERS_WITHOUT_RELAYS = 32
 
 export type RelayCandidate = Pick<MemberRecord, 'id' | 'failureDomain' | 'leaving' | 'processorShare'>
 
@@ -17,7 +17,7 @@
 /** Those with the most processor time in each failure domain: a relay hears some dozens of reports a second. */
 export function chooseRelays (members: readonly RelayCandidate[]): Relays {
   const staying = members.filter(member => !member.leaving)
-  if (staying.length <= STAR_MOST) return new Map()
+  if (staying.length <= MAX_MEMBERS_WITHOUT_RELAYS) return new Map()
   const byDomain = new Map<string, RelayCandidate[]>()
   staying.forEach(member => byDomain.set(member.failureDomain, [...byDomain.get(member.failureDomain) ?? [], member]))
   const perDomain = Math.ceil(Math.sqrt(staying.length) / byDomain.size)
--- a/packages/magnoliabay/src/node/serving/admit.ts
+++ b/packages/magnoliabay/src/node/serving/requestAdmission.ts
@@ -1,8 +1,8 @@
 /** Whether a request may be served at all: its route, its key, its team. */
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import type { ConfigInForce } from './configInForce'
-import type { Refusal } from './outcome'
+import type { ServingConfigProvider } from './servingConfigProvider'
+import type { Refusal } from './refusal'
 import type { CallerRequest, Route, Service, Team } from './types'
 
 /** A process that knows no configuration yet learns it within this time, or is replaced. */
@@ -19,15 +19,15 @@
 
 const LOWEST_PRIORITY = 9
 
-export function admit (cfg: ConfigInForce, host: string, path: string, caller: CallerRequest, random: () => number): Result<Admitted, Refusal> {
+export function admit (cfg: ServingConfigProvider, host: string, path: string, caller: CallerRequest, random: () => number): Result<Admitted, Refusal> {
   const current = cfg.current()
   if (current === undefined) return Err({ reason: 'no-config', retryAfterMs: NO_CONFIG_RETRY_MS })
-  const route = cfg.route(host, path)
+  const route = cfg.findRoute(host, path)
   if (route === undefined) return Err({ reason: 'no-route' })
   const needsKey = current.teams !== undefined && !route.isAnonymous
-  const team = needsKey && caller.key !== undefined ? cfg.teamOf(caller.key) : undefined
+  const team = needsKey && caller.key !== undefined ? cfg.findTeamByKey(caller.key) : undefined
   if (needsKey && team === undefined) return Err({ reason: 'unknown-key' })
-  const service = cfg.service(pickService(route, random()))
+  const service = cfg.findService(pickService(route, random()))
   if (service === undefined) return Err({ reason: 'no-server' })
   return Ok({ route, service, team, priority: Math.min(LOWEST_PRIORITY, team?.priority ?? route.priority) })
 }
@@ -45,5 +45,5 @@
 /** Units of a team's allowance that a request takes. */
 export function unitsOf (team: Team, caller: CallerRequest): number {
   if (team.unit === 'requests') return 1
-  return caller.tokens === undefined ? team.plainTokens : caller.tokens.prompt + caller.tokens.output
+  return caller.tokens === undefined ? team.defaultTokens : caller.tokens.prompt + caller.tokens.output
 }
--- a/packages/magnoliabay/src/node/serving/ending.ts
+++ b/packages/magnoliabay/src/node/serving/requestEnd.ts
@@ -1,9 +1,9 @@
 /** How a request ends: the one line that says so, and what its caller is told. */
 import { sendWhole } from './attempt'
-import type { ServingContext } from './context'
-import { statusOf } from './outcome'
-import type { Refusal } from './outcome'
-import type { Inbound, Run } from './run'
+import type { ServingContext } from './servingContext'
+import { statusOf } from './refusal'
+import type { Refusal } from './refusal'
+import type { Inbound, Run } from './requestRun'
 import type { CallerRequest } from './types'
 
 export interface Endings {
@@ -57,9 +57,9 @@
   })
   const end: Endings['end'] = (run, refusal) => {
     const mayHaveRun = run.trail.state() !== 'untouched'
-    if (run.unitsTaken > 0 && !mayHaveRun && run.admitted.team !== undefined) allowance.giveBack(run.admitted.team, run.unitsTaken)
+    if (run.unitsTaken > 0 && !mayHaveRun && run.admitted.team !== undefined) allowance.refund(run.admitted.team, run.unitsTaken)
     if (run.lastAnswer !== undefined && mayHaveRun && !run.inbound.res.headersSent) {
-      sendWhole(run.inbound.res, run.lastAnswer, wire.returnedHeaders)
+      sendWhole(run.inbound.res, run.lastAnswer, wire.toCallerHeaders)
       return logEnd(run, `relayed ${run.lastAnswer.head.status}`)
     }
     refuse(run.inbound, run.caller, refusal, mayHaveRun, factsOf(run))
--- a/packages/magnoliabay/src/node/serving/serve.ts
+++ b/packages/magnoliabay/src/node/serving/requestHandler.ts
@@ -1,16 +1,16 @@
 /** One request from admission to its end: allowance, a server that can run it, attempts, and what the caller is told. */
 import type { IncomingMessage } from 'node:http'
-import { createTrail, fingerprintOf } from '../outcomes'
-import { admit, unitsOf } from './admit'
+import { createExecutionTracker, fingerprintOf } from '../outcomes'
+import { admit, unitsOf } from './requestAdmission'
 import { startAttempt } from './attempt'
 import type { Attempt, AttemptEnd } from './attempt'
-import { chooseServer } from './choose'
-import type { ServingContext } from './context'
-import { createEndings } from './ending'
+import { chooseServer } from './chooseServer'
+import type { ServingContext } from './servingContext'
+import { createEndings } from './requestEnd'
 import { createEventStream } from './eventStream'
-import type { EndReason, Refusal } from './outcome'
-import type { Inbound, Run } from './run'
-import { processOf } from './types'
+import type { EndReason, Refusal } from './refusal'
+import type { Inbound, Run } from './requestRun'
+import { serverProcessId } from './types'
 import type { BackendServer, CallerRequest } from './types'
 
 /** A stream's caller leaves after a gap of the longest of these: two seconds, so many objectives, so many pauses. */
@@ -45,20 +45,20 @@
   const patienceMs = (run: Run): number => {
     const { route } = run.admitted
     if (route.kind !== 'stream') return leftMs(run)
-    const gapMs = Math.max(CALLER_GAP_MS, CALLER_GAP_OBJECTIVES * route.objectiveMs, CALLER_GAP_PAUSES * route.eventGapMs)
+    const gapMs = Math.max(CALLER_GAP_MS, CALLER_GAP_OBJECTIVES * route.latencyObjectiveMs, CALLER_GAP_PAUSES * route.maxEventGapMs)
     return Math.min(leftMs(run), gapMs - (clock.monotonic() - run.inbound.arrivedMs) - PATIENCE_MARGIN_MS)
   }
   const modelKey = (caller: CallerRequest): string => caller.model === undefined ? '' : (caller.adapter === undefined ? caller.model : `${caller.model}/${caller.adapter}`)
 
   const pick = (run: Run, from: readonly BackendServer[]): BackendServer | undefined => {
-    const untried = from.filter(server => !run.tried.has(processOf(server)))
-    const fresh = untried.filter(server => !run.rejectedBy.has(processOf(server)))
+    const untried = from.filter(server => !run.tried.has(serverProcessId(server)))
+    const fresh = untried.filter(server => !run.rejectedBy.has(serverProcessId(server)))
     const options = fresh.length > 0 ? fresh : untried
     const chosen = chooseServer(options.map(server => {
-      const id = processOf(server)
+      const id = serverProcessId(server)
       return {
         id,
-        load: health.inFlight(id) + table.elsewhere(id),
+        load: health.inFlight(id) + table.inFlightElsewhere(id),
         slots: server.slots,
         isNear: server.failureDomain === ctx.failureDomain,
         failureRate: health.failureRate(id),
@@ -66,7 +66,7 @@
         isCold: ctx.coldStarts.isCold(server)
       }
     }), ctx.random())
-    return options.find(server => processOf(server) === chosen?.id)
+    return options.find(server => serverProcessId(server) === chosen?.id)
   }
   /** The best server that may get the request now: one that is cold may have had enough of them. */
   const pickAdmitted = async (run: Run, from: readonly BackendServer[]): Promise<BackendServer | undefined> => {
@@ -91,17 +91,17 @@
       return await choose(run, servers.usable(service.name)) ?? { reason: 'no-server', retryAfterMs: FULL_RETRY_MS }
     }
     if (!service.engine.models.has(model)) return { reason: 'no-server', retryAfterMs: FULL_RETRY_MS }
-    const ready = await choose(run, placement.holders(service.name, model, adapter).filter(server => !run.tried.has(processOf(server))))
+    const ready = await choose(run, placement.serversWithModel(service.name, model, adapter).filter(server => !run.tried.has(serverProcessId(server))))
     if (ready !== undefined) return ready
     const sinceMs = clock.monotonic()
-    const awaited = await placement.await({
+    const awaited = await placement.waitForModel({
       model,
       adapter,
       service: service.name,
-      patienceMs: patienceMs(run),
+      maxWaitMs: patienceMs(run),
       signal: run.stop.signal,
-      isClosing: () => ctx.isClosingFor(run.admitted.route.kind),
-      except: run.tried
+      isShuttingDown: () => ctx.isClosingFor(run.admitted.route.kind),
+      excludedProcesses: run.tried
     })
     run.waitedMs += clock.monotonic() - sinceMs
     if (awaited.kind === 'ready') return await choose(run, awaited.servers) ?? { reason: 'no-server', retryAfterMs: FULL_RETRY_MS }
@@ -123,12 +123,12 @@
   }
   const send = async (run: Run, server: BackendServer): Promise<AttemptEnd> => {
     const { inbound, caller, admitted } = run
-    const id = processOf(server)
+    const id = serverProcessId(server)
     const model = modelKey(caller)
     run.sends += 1
     run.runs += 1
     run.server = server
-    run.trail.note('send')
+    run.trail.record('send')
     health.noteStart(id, model)
     if (model !== '' && health.inFlightOf(id, model) === 1) ctx.noteUse()
     const attempt = startAttempt({
@@ -136,7 +136,7 @@
       server,
       method: inbound.req.method ?? 'GET',
       path: inbound.req.url ?? '/',
-      headers: wire.forwardedHeaders(inbound.req.rawHeaders, {
+      headers: wire.toBackendHeaders(inbound.req.rawHeaders, {
         deadlineMs: leftMs(run),
         serverId: server.id,
         team: admitted.team?.name,
@@ -147,8 +147,8 @@
       events: run.events,
       attemptId: caller.attemptId,
       res: inbound.res,
-      decodeAnswer: wire.decodeAnswer,
-      returnedHeaders: wire.returnedHeaders,
+      decodeAnswer: wire.decodeResponseHead,
+      returnedHeaders: wire.toCallerHeaders,
       holdsBack: status => status >= SERVER_ERROR_FROM && mayRepeat(run),
       onHeard: () => {
         ctx.noteActivity('server')
@@ -180,9 +180,9 @@
   /** A request whose connection broke may have killed its server. */
   const noteCrash = async (run: Run, server: BackendServer, ended: AttemptEnd): Promise<void> => {
     const { suspects } = ctx
-    if (ended.kind === 'relayed' && suspects.verdict(run.fingerprint) === 'suspect') return suspects.clear(run.fingerprint)
+    if (ended.kind === 'relayed' && suspects.assess(run.fingerprint) === 'suspect') return suspects.clear(run.fingerprint)
     const isBroken = ended.kind === 'cut' || (ended.kind === 'failed' && ended.answer === undefined)
-    if (isBroken && await suspects.hasDied(server.address)) suspects.noteCrash(run.fingerprint, processOf(server))
+    if (isBroken && await suspects.hasCrashed(server.address)) suspects.recordCrash(run.fingerprint, serverProcessId(server))
   }
   const noteHealth = (id: string, ended: AttemptEnd): void => {
     if (ended.kind === 'unsent') return health.noteUnreached(id)
@@ -194,7 +194,7 @@
     const { kind, isResumable, maxAttempts } = run.admitted.route
     return (kind === 'idempotent' || (kind === 'stream' && isResumable)) && run.runs < maxAttempts
   }
-  const retries = (run: Run): boolean => ctx.retryBudget(run.admitted.service.name).take()
+  const retries = (run: Run): boolean => ctx.retryBudget(run.admitted.service.name).tryTake()
 
   /** After an attempt that may have run: another at the next server where that is allowed, else the end. */
   const repeatOrEnd = (run: Run, reason: EndReason): boolean => {
@@ -207,21 +207,21 @@
   }
   /** Returns whether another attempt is to be made; tells the caller where none is. */
   const conclude = async (run: Run, server: BackendServer, ended: AttemptEnd, rejections: number): Promise<boolean> => {
-    const id = processOf(server)
+    const id = serverProcessId(server)
     switch (ended.kind) {
       case 'relayed':
-        run.trail.note('lose')
+        run.trail.record('lose')
         logEnd(run, `relayed ${ended.status}`)
         return false
       case 'unsent':
-        run.trail.note('disclaim')
+        run.trail.record('disclaim')
         run.runs -= 1
         run.tried.add(id)
         if (rejections < MAX_REJECTIONS) return true
         end(run, { reason: 'no-server', retryAfterMs: FULL_RETRY_MS })
         return false
       case 'rejected':
-        run.trail.note('disclaim')
+        run.trail.record('disclaim')
         run.runs -= 1
         run.rejectedBy.add(id)
         logger.info('attempt-rejected', { request: run.caller.attemptId, server: server.id, status: ended.status, model: run.caller.model })
@@ -232,18 +232,18 @@
         await ctx.pause(REJECTED_PAUSE_MS)
         return true
       case 'failed':
-        run.trail.note('lose')
+        run.trail.record('lose')
         run.lastAnswer = ended.answer ?? run.lastAnswer
         logger.info('attempt-failed', { request: run.caller.attemptId, server: server.id, reason: ended.reason, repeatable: mayRepeat(run) })
         run.tried.add(id)
         return repeatOrEnd(run, 'server-failed')
       case 'cut':
-        run.trail.note('lose')
+        run.trail.record('lose')
         run.tried.add(id)
         logger.info('attempt-cut', { request: run.caller.attemptId, server: server.id, why: ended.reason, lastEvent: run.events?.lastId(), repeatable: mayRepeat(run) })
         return repeatOrEnd(run, 'answer-cut')
       case 'stopped':
-        run.trail.note('lose')
+        run.trail.record('lose')
         end(run, { reason: run.why ?? 'fault' })
         return false
     }
@@ -270,22 +270,22 @@
   return async inbound => {
     const { req, res } = inbound
     ctx.noteActivity('caller')
-    const caller = wire.decodeCaller(req.headers)
+    const caller = wire.decodeCallerRequest(req.headers)
     const admitted = admit(cfg, hostOf(req), pathOf(req), caller, ctx.random)
     if (admitted.err) return refuse(inbound, caller, admitted.val, false, { path: pathOf(req) })
     const { route, service } = admitted.val
     if (ctx.isClosingFor(route.kind)) return refuse(inbound, caller, { reason: 'leaving', retryAfterMs: LEAVING_RETRY_MS }, false, { route: route.name })
     ctx.noteDemand(modelKey(caller))
-    ctx.retryBudget(service.name).noteFirstAttempt()
+    ctx.retryBudget(service.name).recordFirstAttempt()
     const fingerprint = fingerprintOf(admitted.val.team?.name ?? '', `${req.method} ${req.url}`, inbound.body)
-    if (ctx.suspects.verdict(fingerprint) === 'refused') return refuse(inbound, caller, { reason: 'crashes-servers' }, false, { route: route.name, fingerprint })
+    if (ctx.suspects.assess(fingerprint) === 'refused') return refuse(inbound, caller, { reason: 'crashes-servers' }, false, { route: route.name, fingerprint })
     const allowedMs = Math.min(route.timeoutMs, caller.deadlineMs ?? Infinity)
     const run: Run = {
       inbound,
       caller,
       fingerprint,
       admitted: admitted.val,
-      trail: createTrail(),
+      trail: createExecutionTracker(),
       endMs: inbound.arrivedMs + allowedMs,
       stop: new AbortController(),
       why: undefined,
--- a/packages/magnoliabay/src/node/serving/run.ts
+++ b/packages/magnoliabay/src/node/serving/requestRun.ts
@@ -1,10 +1,10 @@
 /** One request while it is served: what it asks for, where it was sent, and what became of that. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import type { Trail } from '../outcomes'
-import type { Admitted } from './admit'
+import type { ExecutionTracker } from '../outcomes'
+import type { Admitted } from './requestAdmission'
 import type { Attempt, WholeAnswer } from './attempt'
 import type { EventStream } from './eventStream'
-import type { EndReason } from './outcome'
+import type { EndReason } from './refusal'
 import type { BackendServer, CallerRequest } from './types'
 
 export interface Inbound {
@@ -20,7 +20,7 @@
   /** The same bytes of the same caller: the same request sent again. */
   fingerprint: string
   admitted: Admitted
-  trail: Trail
+  trail: ExecutionTracker
   /** Monotonic milliseconds by which the request must have ended. */
   endMs: number
   stop: AbortController
--- a/packages/magnoliabay/src/node/serving/serverHealth.ts
+++ b/packages/magnoliabay/src/node/serving/serverHealth.ts
@@ -54,7 +54,7 @@
       of(server).heardMs = clock.monotonic()
       of(server).unreachedUntilMs = 0
     },
-    noteFailure: server => of(server).failures.note(1, clock.monotonic()),
+    noteFailure: server => of(server).failures.add(1, clock.monotonic()),
     noteUnreached: server => { of(server).unreachedUntilMs = clock.monotonic() + LEFT_ALONE_MS },
     inFlight: count,
     inFlightOf: (server, model) => seen.get(server)?.models.get(model) ?? 0,
--- a/packages/magnoliabay/src/node/serving/servers.ts
+++ b/packages/magnoliabay/src/node/serving/serverList.ts
@@ -3,7 +3,7 @@
 import type { Logger } from '../logger'
 import { stableHash } from '../utils'
 import type { ListedServer, ServersNotice } from './fleetMessages'
-import { processOf } from './types'
+import { serverProcessId } from './types'
 import type { BackendServer } from './types'
 
 /**
@@ -21,16 +21,16 @@
 /** A store that goes back to an older copy lists again what had gone for up to so long, milliseconds. */
 const COPY_AGE_MS = 15_000
 
-export interface ListedEntry {
+export interface StoreEntry {
   key: string
   value: string
 }
 
-export interface Servers {
+export interface ServerList {
   /** Servers that take new requests. */
   usable (service: string): readonly BackendServer[]
   /** The server whose process this is, if it takes new requests. */
-  usableProcess (process: string): BackendServer | undefined
+  findUsableByProcess (process: string): BackendServer | undefined
   get (id: string): BackendServer | undefined
   all (): readonly BackendServer[]
   /** Whether the list has been read at all. */
@@ -39,13 +39,13 @@
   listed (): readonly ListedServer[]
   /** The same for two instances exactly when both know the same of every server. */
   digest (): string
-  snapshot (entries: readonly ListedEntry[]): void
-  put (entry: ListedEntry): void
+  snapshot (entries: readonly StoreEntry[]): void
+  put (entry: StoreEntry): void
   remove (key: string): void
   /** Takes over the whole list of a peer. */
-  adopt (list: readonly ListedServer[]): void
+  replaceAll (list: readonly ListedServer[]): void
   /** Takes over what changed in a peer's list. */
-  follow (notice: ServersNotice): void
+  applyChanges (notice: ServersNotice): void
   /** What changed since this was last asked, for those who follow this list. */
   takeChanges (): ServersNotice | undefined
   /** A peer has heard that the server leaves. */
@@ -56,25 +56,25 @@
   /** What decides which servers are usable has changed elsewhere. */
   noteChanged (): void
   /** Takes over a report that is newer than the entry: what the engine holds. */
-  noteModels (server: BackendServer, models: BackendServer['models']): void
+  updateModels (server: BackendServer, models: BackendServer['models']): void
   onChanged (listener: () => void): void
   /** Called with each entry as the store lists it. */
-  onListed (listener: (server: BackendServer) => void): void
+  onEntry (listener: (server: BackendServer) => void): void
 }
 
-export interface ServersOptions {
+export interface ServerListOptions {
   decode: (key: string, text: string) => BackendServer | undefined
   idOf: (key: string) => string
   /** Failure domains whose servers get nothing new. */
   isEvacuated: (failureDomain: string) => boolean
   /** Monotonic milliseconds since when the store has been answering without a break. */
-  storeSteadySinceMs: () => number
+  storeReachableSinceMs: () => number
   clock: Clock
   logger: Logger
 }
 
-export function createServers (options: ServersOptions): Servers {
-  const { decode, idOf, storeSteadySinceMs, clock, logger } = options
+export function createServerList (options: ServerListOptions): ServerList {
+  const { decode, idOf, storeReachableSinceMs: storeSteadySinceMs, clock, logger } = options
   const servers = new Map<string, BackendServer>()
   const leaving = new Set<string>()
   const listeners: Array<() => void> = []
@@ -105,7 +105,7 @@
     const server = servers.get(id)
     if (server === undefined) return
     servers.delete(id)
-    coldUntilMs.delete(processOf(server))
+    coldUntilMs.delete(serverProcessId(server))
     changedIds.add(id)
     logger.info('server-gone', { server: id, service: server.service, reason })
     changed()
@@ -114,7 +114,7 @@
     const nowMs = clock.monotonic()
     departedMs.forEach((atMs, process) => { if (nowMs - atMs > COPY_AGE_MS) departedMs.delete(process) })
     const server = servers.get(id)
-    if (server !== undefined) departedMs.set(processOf(server), nowMs)
+    if (server !== undefined) departedMs.set(serverProcessId(server), nowMs)
     drop(id, reason)
   }
   const remove = (id: string): void => {
@@ -132,15 +132,15 @@
     const isUndrained = known?.bornMs === server.bornMs && known.state === 'draining' && server.state === 'ready'
     return isUndrained || (known?.bornMs ?? 0) > server.bornMs
   }
-  const hasDeparted = (server: ListedServer, withinMs: number): boolean => clock.monotonic() - (departedMs.get(processOf(server)) ?? -Infinity) < withinMs
+  const hasDeparted = (server: ListedServer, withinMs: number): boolean => clock.monotonic() - (departedMs.get(serverProcessId(server)) ?? -Infinity) < withinMs
   const takeFromPeer = (list: readonly ListedServer[]): void => {
     const standing = list.filter(server => !isOutdated(server))
-    standing.forEach(server => toldGoneMs.delete(processOf(server)))
+    standing.forEach(server => toldGoneMs.delete(serverProcessId(server)))
     standing.map(withCopies).forEach(takeListed)
   }
   const dropByPeer = (id: string, reason: string): void => {
     const server = servers.get(id)
-    if (server !== undefined) toldGoneMs.set(processOf(server), clock.monotonic())
+    if (server !== undefined) toldGoneMs.set(serverProcessId(server), clock.monotonic())
     drop(id, reason)
   }
   /**
@@ -150,7 +150,7 @@
   const isReplayed = (server: BackendServer): boolean => {
     const nowMs = clock.monotonic()
     toldGoneMs.forEach((atMs, process) => { if (nowMs - atMs > COPY_AGE_MS) toldGoneMs.delete(process) })
-    return nowMs - storeSteadySinceMs() < DOUBT_MS && toldGoneMs.has(processOf(server))
+    return nowMs - storeSteadySinceMs() < DOUBT_MS && toldGoneMs.has(serverProcessId(server))
   }
   /** One that is listed again is not to be removed. What a server says of itself is no such sign: one that leaves still answers. */
   const takeListed = (server: BackendServer): boolean => {
@@ -160,7 +160,7 @@
   const coldMs = (process: string): number => Math.max(0, (coldUntilMs.get(process) ?? -Infinity) - clock.monotonic())
   /** Returns whether it is news that the server is cold. */
   const noteCold = (server: BackendServer): boolean => {
-    const process = processOf(server)
+    const process = serverProcessId(server)
     const isNews = server.coldMs > 0 && coldMs(process) === 0
     if (server.coldMs > 0) coldUntilMs.set(process, Math.max(coldUntilMs.get(process) ?? 0, clock.monotonic() + server.coldMs))
     if (isNews) logger.info('server-cold', { server: server.id, forMs: Math.round(server.coldMs) })
@@ -182,7 +182,7 @@
     holdingIds.add(id)
     return true
   }
-  const put = ({ key, value }: ListedEntry): boolean => {
+  const put = ({ key, value }: StoreEntry): boolean => {
     const server = decode(key, value)
     if (server === undefined) {
       logger.warn('server-entry-unreadable', { key })
@@ -194,7 +194,7 @@
     listedListeners.forEach(listener => listener(server))
     return isNew
   }
-  const isGhost = ({ key, value }: ListedEntry): boolean => {
+  const isGhost = ({ key, value }: StoreEntry): boolean => {
     const server = departedMs.size === 0 ? undefined : decode(key, value)
     return server !== undefined && !servers.has(server.id) && hasDeparted(server, COPY_AGE_MS)
   }
@@ -210,15 +210,15 @@
   }
   const listed = (server: BackendServer): ListedServer => {
     const { copies, ...rest } = server
-    return { ...rest, coldMs: coldMs(processOf(server)) }
+    return { ...rest, coldMs: coldMs(serverProcessId(server)) }
   }
-  const isUsable = (server: BackendServer): boolean => server.state === 'ready' && !leaving.has(processOf(server)) && !options.isEvacuated(server.failureDomain)
+  const isUsable = (server: BackendServer): boolean => server.state === 'ready' && !leaving.has(serverProcessId(server)) && !options.isEvacuated(server.failureDomain)
 
   return {
     usable: service => [...servers.values()].filter(server => server.service === service && isUsable(server)),
-    usableProcess: process => {
+    findUsableByProcess: process => {
       const server = servers.get(process.slice(0, process.lastIndexOf('@')))
-      return server !== undefined && processOf(server) === process && isUsable(server) ? server : undefined
+      return server !== undefined && serverProcessId(server) === process && isUsable(server) ? server : undefined
     },
     get: id => servers.get(id),
     all: () => [...servers.values()],
@@ -238,7 +238,7 @@
       standing.forEach(put)
       changed()
     },
-    adopt: list => {
+    replaceAll: list => {
       isKnown = true
       const present = new Set(list.map(server => server.id))
       const missing = [...servers.keys()].filter(id => !present.has(id))
@@ -246,7 +246,7 @@
       takeFromPeer(list)
       changed()
     },
-    follow: ({ changed: entries, holding, gone }) => {
+    applyChanges: ({ changed: entries, holding, gone }) => {
       gone.forEach(id => dropByPeer(id, 'a peer told'))
       takeFromPeer(entries)
       holding.forEach(server => noteModels(server, server.models))
@@ -269,12 +269,12 @@
       logger.info('server-leaving', { server: serverProcess, source: 'peer' })
       changed()
     },
-    leaving: () => [...servers.values()].filter(server => server.state === 'draining').map(processOf),
+    leaving: () => [...servers.values()].filter(server => server.state === 'draining').map(serverProcessId),
     coldMs,
     noteChanged: changed,
-    noteModels: (server, models) => { if (noteModels(server, models)) changed() },
+    updateModels: (server, models) => { if (noteModels(server, models)) changed() },
     onChanged: listener => { listeners.push(listener) },
-    onListed: listener => { listedListeners.push(listener) }
+    onEntry: listener => { listedListeners.push(listener) }
   }
 }
 
--- a/packages/magnoliabay/src/node/serving/configInForce.ts
+++ b/packages/magnoliabay/src/node/serving/servingConfigProvider.ts
@@ -3,22 +3,22 @@
 import type { Logger } from '../logger'
 import type { Route, Service, ServingConfig, Team } from './types'
 
-export interface ConfigInForce {
+export interface ServingConfigProvider {
   /** Undefined until one is known. */
   current (): ServingConfig | undefined
   version (): number
   /** The document that is in force, as it was read, for peers that have missed it. */
   text (): string | undefined
   /** Takes a document over if it is newer than the one in force; returns whether it was. */
-  offer (text: string, source: 'store' | 'peer'): boolean
-  route (host: string, path: string): Route | undefined
+  applyIfNewer (text: string, source: 'store' | 'peer'): boolean
+  findRoute (host: string, path: string): Route | undefined
   /** The team that holds a key. */
-  teamOf (key: string): Team | undefined
-  service (name: string): Service | undefined
+  findTeamByKey (key: string): Team | undefined
+  findService (name: string): Service | undefined
   onChanged (listener: () => void): void
 }
 
-export interface ConfigInForceOptions {
+export interface ServingConfigProviderOptions {
   decode: (text: string) => ServingConfig | undefined
   clock: Clock
   logger: Logger
@@ -31,7 +31,7 @@
 
 const EMPTY: Index = { routes: new Map(), teams: new Map() }
 
-export function createConfigInForce ({ decode, clock, logger }: ConfigInForceOptions): ConfigInForce {
+export function createServingConfigProvider ({ decode, clock, logger }: ServingConfigProviderOptions): ServingConfigProvider {
   const listeners: Array<() => void> = []
   let current: ServingConfig | undefined
   let currentText: string | undefined
@@ -49,7 +49,7 @@
     current: () => current,
     version: () => current?.version ?? 0,
     text: () => currentText,
-    offer: (text, source) => {
+    applyIfNewer: (text, source) => {
       const next = decode(text)
       if (next === undefined) {
         logger.warn('config-unreadable', { source, bytes: text.length, inForce: current?.version })
@@ -65,9 +65,9 @@
       listeners.forEach(listener => listener())
       return true
     },
-    route: (host, path) => index.routes.get(host)?.find(route => path.startsWith(route.prefix)),
-    teamOf: key => index.teams.get(key),
-    service: name => current?.services.get(name),
+    findRoute: (host, path) => index.routes.get(host)?.find(route => path.startsWith(route.prefix)),
+    findTeamByKey: key => index.teams.get(key),
+    findService: name => current?.services.get(name),
     onChanged: listener => { listeners.push(listener) }
   }
 }
--- a/packages/magnoliabay/src/node/serving/context.ts
+++ b/packages/magnoliabay/src/node/serving/servingContext.ts
@@ -1,28 +1,28 @@
 /** What serving a request needs from the rest of the process. */
-import type { Activity } from '../activity'
+import type { WakeupCounter } from '../wakeups'
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
 import type { RetryBudget, Suspects } from '../outcomes'
-import type { TeamAllowance } from './allowance/teamAllowance'
+import type { AllowanceLimiter } from './allowance/allowanceLimiter'
 import type { ColdStarts } from './coldStarts'
-import type { ConfigInForce } from './configInForce'
+import type { ServingConfigProvider } from './servingConfigProvider'
 import type { Connections } from './exchange'
-import type { FleetTable } from './fleetTable'
+import type { FleetView } from './fleetView'
 import type { ServingMetrics } from './metrics'
 import type { PlacementClient } from './placement/placementClient'
 import type { ServerHealth } from './serverHealth'
-import type { Servers } from './servers'
+import type { ServerList } from './serverList'
 import type { RequestKind } from './types'
-import type { ServingWire } from './wire'
+import type { ServingProtocol } from './servingProtocol'
 
 export interface ServingContext {
-  cfg: ConfigInForce
-  wire: ServingWire
-  servers: Servers
+  cfg: ServingConfigProvider
+  wire: ServingProtocol
+  servers: ServerList
   health: ServerHealth
-  table: FleetTable
+  table: FleetView
   placement: PlacementClient
-  allowance: TeamAllowance
+  allowance: AllowanceLimiter
   connections: Connections
   coldStarts: ColdStarts
   /** Requests that were under way on servers that died. */
@@ -34,7 +34,7 @@
   /** A model came into use at a server, or out of it: whoever gives orders must know before it unloads anything. */
   noteUse: () => void
   /** Counts what wakes the process. */
-  noteActivity: Activity['note']
+  noteActivity: WakeupCounter['note']
   /** This process ends too soon for a request of that kind to finish. */
   isClosingFor: (kind: RequestKind) => boolean
   metrics: ServingMetrics
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:http'
 import { setMaxListeners } from 'node:events'
 import polka from 'polka'
-import type { Activity } from '../activity'
+import type { WakeupCounter } from '../wakeups'
 import type { Clock } from '../clock'
 import { sleep } from '../clock'
 import { createDecayingRate } from '../decayingRate'
@@ -10,42 +10,42 @@
 import type { Logger } from '../logger'
 import { createMembership, createPeerNetwork } from '../members'
 import type { MemberRecord } from '../members'
-import { greetSeeds } from '../members/seeds'
+import { contactSeeds } from '../members/seeds'
 import { createRetryBudget, createSuspects } from '../outcomes'
 import type { RetryBudget } from '../outcomes'
 import { probeAddress } from '../probe'
 import { createShutdown } from '../shutdown'
-import type { Store, WatchFeed } from '../store'
+import type { Store, PrefixWatch } from '../store'
 import { createId, listenOn, parseHostPort } from '../utils'
-import { createRecordsByPeer } from './allowance/recordsByPeer'
-import { createTeamAllowance } from './allowance/teamAllowance'
-import type { AllowanceTolerance } from './allowance/teamAllowance'
+import { createPeerFallbackStore } from './allowance/peerFallbackStore'
+import { createAllowanceLimiter } from './allowance/allowanceLimiter'
+import type { AllowanceTolerance } from './allowance/allowanceLimiter'
 import { createColdStarts } from './coldStarts'
-import type { ColdTolerance } from './coldStarts'
-import { createConfigInForce } from './configInForce'
+import type { ColdRateTolerance } from './coldStarts'
+import { createServingConfigProvider } from './servingConfigProvider'
 import type { EngineCalls } from './engineCalls'
 import { createConnections } from './exchange'
 import { createEvacuations } from './evacuations'
-import { createFleetTable } from './fleetTable'
+import { createFleetView } from './fleetView'
 import type { InstanceReport } from './fleetMessages'
-import { createFrontDoor } from './frontDoor'
-import { forgetGoneServers } from './goneServers'
+import { createFrontDoor } from './entryServer'
+import { forgetGoneServers } from './departedServers'
 import { createServingMetrics } from './metrics'
-import { LEADER_KEY, createLeadership } from './placement/leadership'
-import { createLeaseByPeer } from './placement/leaseByPeer'
-import { createOrderer } from './placement/orderer'
+import { LEADER_KEY, createLeaderElection } from './placement/leaderElection'
+import { createPeerLeaseRenewal } from './placement/peerLeaseRenewal'
+import { createPlacementController } from './placement/placementController'
 import { createPlacementClient } from './placement/placementClient'
-import { createServe } from './serve'
+import { createServe } from './requestHandler'
 import { createServerHealth } from './serverHealth'
-import { createServers } from './servers'
-import { createStoreFeeds, watchStore } from './storeFeeds'
-import type { StoreFeedsOptions } from './storeFeeds'
+import { createServerList } from './serverList'
+import { createStoreFeeds, watchStore } from './storeWatches'
+import type { StoreFeedsOptions } from './storeWatches'
 import { createStoreProxy } from './storeProxy'
-import { createStoreTurn } from './storeTurn'
-import { createSpread } from './spread'
-import { processOf } from './types'
+import { createStoreTurn } from './storeReadPolicy'
+import { createSpread } from './dissemination'
+import { serverProcessId } from './types'
 import type { RequestKind } from './types'
-import type { ServingWire } from './wire'
+import type { ServingProtocol } from './servingProtocol'
 
 export interface ServingSettings {
   instance: { id: string, failureDomain: string, region: string }
@@ -53,34 +53,34 @@
   processorShare: number
   listen: { entry: string, peers: string, metrics: string }
   seeds: readonly string[]
-  graceMs: number
+  gracePeriodMs: number
   orderLeaseMs: number
   retryBudget: { ratio: number, slack: number }
   allowanceWindowMs: number
   allowanceTolerance: AllowanceTolerance
-  coldTolerance: ColdTolerance
+  coldRateTolerance: ColdRateTolerance
   isFirstStart: boolean
-  loadWindowMs: number
+  storeLoadWindowMs: number
   store: { minLeaseMs: number }
 }
 
 export interface ServingStore extends Store {
   lastContactMs (): number
-  steadySinceMs (): number
+  reachableSinceMs (): number
   /** Rises whenever the store has gone on from an older copy of itself. */
   era (): number
   /** Begins to watch. */
-  start (signal: AbortSignal, feeds: readonly WatchFeed[]): void
+  start (signal: AbortSignal, feeds: readonly PrefixWatch[]): void
   close (): Promise<void>
 }
 
 export interface ServingInstanceOptions {
   settings: ServingSettings
-  wire: ServingWire
+  wire: ServingProtocol
   store: ServingStore
   engines: EngineCalls
   /** Counts what wakes the process. */
-  activity: Activity
+  activity: WakeupCounter
   clock: Clock
   logger: Logger
   /** 0 to below 1. */
@@ -90,7 +90,7 @@
 export interface ServingInstance {
   isReady (): boolean
   /** Entry addresses that callers should use. */
-  addressesFor (failureDomain: string | undefined): readonly string[]
+  entryAddressesFor (failureDomain: string | undefined): readonly string[]
   start (): Promise<void>
   shutdown (): Promise<void>
 }
@@ -149,9 +149,9 @@
   const metrics = createServingMetrics(activity)
   const peers = createPeerNetwork({ self, clock, logger, onFrame: kind => activity.note(`peer ${kind}`) })
   const membership = createMembership({ store, network: peers, clock, logger })
-  const cfg = createConfigInForce({ decode: wire.decodeConfig, clock, logger })
-  const evacuations = createEvacuations({ storeSteadySinceMs: store.steadySinceMs, clock, logger })
-  const servers = createServers({ decode: wire.decodeServer, idOf: wire.serverIdOf, isEvacuated: evacuations.isEvacuated, storeSteadySinceMs: store.steadySinceMs, clock, logger })
+  const cfg = createServingConfigProvider({ decode: wire.decodeConfig, clock, logger })
+  const evacuations = createEvacuations({ storeReachableSinceMs: store.reachableSinceMs, clock, logger })
+  const servers = createServerList({ decode: wire.decodeServer, idOf: wire.serverIdOf, isEvacuated: evacuations.isEvacuated, storeReachableSinceMs: store.reachableSinceMs, clock, logger })
   const health = createServerHealth(clock)
   const connections = createConnections(clock)
   const demand = new Map<string, DecayingRate>()
@@ -159,16 +159,16 @@
 
   let leavingSinceMs = Infinity
   const lastRequestMs: Record<RequestKind, number> = {
-    stream: settings.graceMs * LAST_STREAM_PART,
-    idempotent: settings.graceMs - LAST_CALL_MS,
-    'non-idempotent': settings.graceMs - LAST_CALL_MS
+    stream: settings.gracePeriodMs * LAST_STREAM_PART,
+    idempotent: settings.gracePeriodMs - LAST_CALL_MS,
+    'non-idempotent': settings.gracePeriodMs - LAST_CALL_MS
   }
   const isReady = (): boolean => cfg.version() > 0 && servers.isKnown() && !self.leaving
   const otherMembers = (): readonly MemberRecord[] => peers.members().filter(member => member.id !== id && !member.leaving)
-  const isLinked = (member: string): boolean => member === id || peers.evidenceOf(member) === 'linked'
+  const isLinked = (member: string): boolean => member === id || peers.linkStateOf(member) === 'linked'
   /** Cut off from the store and from most of those to whom links are kept: what the fleet decides passes it by. */
   const isIsolated = (): boolean => {
-    const kept = otherMembers().map(member => peers.evidenceOf(member.id)).filter(evidence => evidence !== 'none')
+    const kept = otherMembers().map(member => peers.linkStateOf(member.id)).filter(evidence => evidence !== 'none')
     const linked = kept.filter(evidence => evidence === 'linked').length
     return storeAgeMs() > ISOLATED_STORE_MS && linked < kept.length * ISOLATED_PART
   }
@@ -179,18 +179,18 @@
     if (!demand.has(model) && !isConfigured(model)) return
     const rate = demand.get(model) ?? createDecayingRate(DEMAND_AVERAGE_MS)
     demand.set(model, rate)
-    rate.note(1, clock.monotonic())
+    rate.add(1, clock.monotonic())
   }
   const retryBudget = (service: string): RetryBudget => {
     const { ratio, slack } = settings.retryBudget
     const reserve = (): number => slack * RETRY_PART / Math.max(1, peers.members().length)
-    const budget = budgets.get(service) ?? createRetryBudget({ share: ratio * RETRY_PART, reserve })
+    const budget = budgets.get(service) ?? createRetryBudget({ retriesPerRequest: ratio * RETRY_PART, burst: reserve })
     budgets.set(service, budget)
     return budget
   }
   const ownReport = (): InstanceReport => {
     const now = clock.monotonic()
-    const waiting = placement.waiting()
+    const waiting = placement.waitingByModel()
     const asked = new Set([...demand.keys(), ...waiting.keys()])
     return {
       configVersion: cfg.version(),
@@ -200,93 +200,93 @@
         .map(model => ({ model, rate: demand.get(model)?.read(now) ?? 0, waiting: waiting.get(model) ?? 0 }))
         .filter(entry => entry.rate > LEAST_RATE || entry.waiting > 0),
       leavingServers: servers.leaving(),
-      silentServers: servers.all().map(processOf).filter(health.isSilent).map(server => ({ server, tellers: 1 })),
-      spent: allowance.spent(),
+      silentServers: servers.all().map(serverProcessId).filter(health.isSilent).map(server => ({ server, tellers: 1 })),
+      spent: allowance.ownSpending(),
       isReady: isReady(),
       below: [],
       isUrgent: false
     }
   }
-  const leader = (): string | undefined => leadership.isHolder() ? id : leadership.holder()
-  const table = createFleetTable({
+  const leader = (): string | undefined => leadership.isLeaseHolder() ? id : leadership.leaseHolder()
+  const table = createFleetView({
     peers,
     clock,
     isLinked,
     leader,
     own: ownReport,
-    spentWithBelow: () => allowance.spentWithBelow(),
-    leading: () => leadership.leading(),
-    latestClaim: () => leadership.latestClaim(),
+    spentWithBelow: () => allowance.subtreeSpending(),
+    leading: () => leadership.ownClaim(),
+    latestClaim: () => leadership.latestClaimRevision(),
     beforeSummary: () => spread.tellChanges(),
     summary: () => ({
       configVersion: cfg.version(),
       storeAgeMs: Math.round(proxy.sight().ageMs),
       storeSteadyMs: proxy.sight().steadyMs,
-      spent: allowance.spentByAll(),
+      spent: allowance.fleetSpending(),
       evacuation: evacuations.state(),
       listDigest: servers.digest(),
       membersDigest: membership.digest()
     }),
     onReport: (member, report) => {
       report.leavingServers.forEach(servers.noteLeaving)
-      allowance.noteSpent(member.incarnation, report.spent)
+      allowance.notePeerSpending(member.incarnation, report.spent)
     },
     onSummary: (member, summary) => {
       spread.noteSummary(member.id, summary)
-      allowance.noteSpentByAll(summary.spent)
+      allowance.noteFleetSpending(summary.spent)
     }
   })
   const proxy = createStoreProxy({
     peers,
-    isLeading: () => leadership.isHolder(),
-    own: () => ({ ageMs: storeAgeMs(), steadyMs: clock.monotonic() - store.steadySinceMs() }),
-    candidates: table.peersAtStore,
+    isLeading: () => leadership.isLeaseHolder(),
+    own: () => ({ ageMs: storeAgeMs(), steadyMs: clock.monotonic() - store.reachableSinceMs() }),
+    candidates: table.peersWithStoreAccess,
     onProxied: member => spread.noteProxy(member),
     clock,
     logger
   })
-  const spread = createSpread({ peers, cfg, servers, evacuations, members: membership, storeAgeMs, leading: () => leadership.leading() ?? leadership.known(), followers: () => [...table.reporters(), ...proxy.clients()], isProxy: member => proxy.current() === member, isLeadingRelays: () => leadership.isHolder() && table.isRelayed(), isFollowing: table.isFollowing, isLinked, onLeaderTold: leading => leadership.noteTold(leading), clock, logger, random })
+  const spread = createSpread({ peers, cfg, servers, evacuations, members: membership, storeAgeMs, leading: () => leadership.ownClaim() ?? leadership.knownClaim(), followers: () => [...table.reporters(), ...proxy.clients()], isProxy: member => proxy.current() === member, isLeadingRelays: () => leadership.isLeaseHolder() && table.isRelayed(), isFollowing: table.isFollowing, isLinked, onLeaderTold: leading => leadership.noteClaimFromPeer(leading), clock, logger, random })
   /** Neighbours and relays look: they are a few, hold links to the leader, and see one end. */
   const hasEnded = async (member: string): Promise<boolean> => {
     const record = peers.members().find(each => each.id === member)
-    const mayTell = peers.evidenceOf(member) === 'unlinked' || (table.isRelay() && !isLinked(member))
+    const mayTell = peers.linkStateOf(member) === 'unlinked' || (table.isRelay() && !isLinked(member))
     return record !== undefined && mayTell && await probeAddress(clock, parseHostPort(record.peerAddress), ENDED_PATIENCE_MS) === 'refused'
   }
-  const leadership = createLeadership({
+  const leadership = createLeaderElection({
     store,
     self: id,
     machine: `${id} at ${settings.listen.peers}`,
     orderLeaseMs: settings.orderLeaseMs,
     minLeaseMs: settings.store.minLeaseMs,
     processorShare: settings.processorShare,
-    renewByPeer: createLeaseByPeer({ peers, store, closestToStore: table.closestToStore }),
-    hasEnded,
+    renewLeaseViaPeer: createPeerLeaseRenewal({ peers, store, peerWithLatestStoreContact: table.peerWithLatestStoreContact }),
+    hasProcessEnded: hasEnded,
     isFollowing: table.isFollowing,
     era: store.era,
     isFirstStart: settings.isFirstStart,
-    yieldMs: () => table.isRelayed() && !table.isRelay() ? YIELD_TO_RELAYS_MS : 0,
+    candidacyDelayMs: () => table.isRelayed() && !table.isRelay() ? YIELD_TO_RELAYS_MS : 0,
     clock,
     logger,
     random
   })
-  const orderer = createOrderer({ self: id, leadership, servers, cfg, table, engines: options.engines, storeSteadySinceMs: store.steadySinceMs, peers, clock, logger, loadWindowMs: settings.loadWindowMs })
+  const orderer = createPlacementController({ self: id, leadership, servers, cfg, table, engines: options.engines, storeReachableSinceMs: store.reachableSinceMs, peers, clock, logger, loadWindowMs: settings.storeLoadWindowMs })
   const placement = createPlacementClient({
     peers,
     servers,
-    orderer: leader,
-    isSound: process => !health.isSilent(process),
+    leader,
+    isServerResponding: process => !health.isSilent(process),
     isIsolated,
     clock,
     logger
   })
-  const records = createRecordsByPeer({ peers, store, isOutOfReach: () => store.steadySinceMs() === Infinity, peersAtStore: () => [...table.peersAtStore(), ...anyMembers(OTHERS_AT_STORE)] })
+  const records = createPeerFallbackStore({ peers, store, isStoreUnreachable: () => store.reachableSinceMs() === Infinity, peersWithStoreAccess: () => [...table.peersWithStoreAccess(), ...anyMembers(OTHERS_AT_STORE)] })
   const anyMembers = (count: number): string[] => {
     const others = otherMembers().map(member => member.id)
     return Array.from({ length: Math.min(count, others.length) }, () => others[Math.floor(random() * others.length)]!)
   }
-  const allowance = createTeamAllowance({
+  const allowance = createAllowanceLimiter({
     peers,
-    teamNamed: name => cfg.current()?.teams?.find(team => team.name === name),
+    findTeam: name => cfg.current()?.teams?.find(team => team.name === name),
     windowMs: settings.allowanceWindowMs,
     isFirstStart: settings.isFirstStart,
     store: records,
@@ -299,16 +299,16 @@
     peers,
     clock,
     logger,
-    hasDied: async address => !await connections.isAlive(address),
-    holdMs: SUSPECT_HELD_MS,
-    crashesToRefuse: CRASHES_TO_REFUSE
+    hasCrashed: async address => !await connections.isAlive(address),
+    retentionMs: SUSPECT_HELD_MS,
+    refuseAfterCrashes: CRASHES_TO_REFUSE
   })
   const coldStarts = createColdStarts({
     peers,
-    startOf: service => cfg.service(service)?.coldStart,
+    startOf: service => cfg.findService(service)?.coldStart,
     coldMs: servers.coldMs,
     backSinceMs: evacuations.endedAgoMs,
-    tolerance: settings.coldTolerance,
+    tolerance: settings.coldRateTolerance,
     clock,
     logger
   })
@@ -348,13 +348,13 @@
   })
   forgetGoneServers({ servers, health, connections, engines: options.engines })
   const isProxy = (): boolean => proxy.clients().length > 0
-  const turn = createStoreTurn({ isLeading: leadership.isHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => peers.members().length, clock, logger, random })
-  const feeds: StoreFeedsOptions = { store, wire, cfg, evacuations, servers, memberCount: () => peers.members().length, isOwnTurn: turn.isOwn, isProxy, isOrdering: orderer.isWaiting }
+  const turn = createStoreTurn({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => peers.members().length, clock, logger, random })
+  const feeds: StoreFeedsOptions = { store, wire, cfg, evacuations, servers, memberCount: () => peers.members().length, isOwnTurn: turn.isOwn, isProxy, isOrdering: orderer.hasPendingOrders }
   const isLonely = (): boolean => cfg.version() === 0 || !servers.isKnown() || peers.members().length < 2
 
   return {
     isReady,
-    addressesFor: () => {
+    entryAddressesFor: () => {
       // Those that it cannot reach are most likely well: callers that come here would only be refused.
       if (isIsolated()) return otherMembers().filter(member => !peers.isConnected(member.id)).map(member => member.entryAddress)
       const others = otherMembers().filter(member => peers.isConnected(member.id) && table.isAvailable(member.id))
@@ -370,7 +370,7 @@
       table.start(stop.signal)
       spread.start(stop.signal)
       proxy.start(stop.signal)
-      greetSeeds({ network: peers, seeds: settings.seeds, isNeeded: isLonely, clock }, stop.signal)
+      contactSeeds({ network: peers, seeds: settings.seeds, isNeeded: isLonely, clock }, stop.signal)
       await door.start()
       await listenOn(metricsServer, settings.listen.metrics)
       logger.info('instance-started', { incarnation: self.incarnation, entry: settings.listen.entry, peers: settings.listen.peers, leaderKey: LEADER_KEY })
@@ -378,8 +378,8 @@
     shutdown: createShutdown({
       clock,
       logger,
-      locateKeepMs: Math.min(ADDRESS_KEPT_MS, settings.graceMs - 2 * GRACE_MARGIN_MS),
-      drainMs: Math.max(0, settings.graceMs - ADDRESS_KEPT_MS - GRACE_MARGIN_MS),
+      locateKeepMs: Math.min(ADDRESS_KEPT_MS, settings.gracePeriodMs - 2 * GRACE_MARGIN_MS),
+      drainMs: Math.max(0, settings.gracePeriodMs - ADDRESS_KEPT_MS - GRACE_MARGIN_MS),
       steps: {
         leave: async () => {
           leavingSinceMs = clock.monotonic()
--- a/packages/magnoliabay/src/node/serving/wire.ts
+++ b/packages/magnoliabay/src/node/serving/servingProtocol.ts
@@ -1,11 +1,11 @@
 /** What the serving path needs of whatever protocol callers and backend servers speak. */
 import type { IncomingHttpHeaders } from 'node:http'
-import type { AnswerMarks } from './attempt'
-import type { AnswerHead } from './exchange'
+import type { ResponseMetadata } from './attempt'
+import type { ResponseHead } from './exchange'
 import type { BackendServer, CallerRequest, ServingConfig } from './types'
 
 /** What the system says to a backend server beside the caller's own headers. */
-export interface ForwardedWith {
+export interface ForwardedMetadata {
   /** Milliseconds that are left. */
   deadlineMs: number
   serverId: string
@@ -16,7 +16,7 @@
   lastEventId?: string
 }
 
-export interface WireKeys {
+export interface StoreKeys {
   /** Prefix of all that the operator writes. */
   operator: string
   config: string
@@ -26,14 +26,14 @@
   servers: string
 }
 
-export interface ServingWire {
-  decodeCaller (headers: IncomingHttpHeaders): CallerRequest
-  forwardedHeaders (rawHeaders: readonly string[], own: ForwardedWith): string[]
-  decodeAnswer (head: AnswerHead): AnswerMarks
-  returnedHeaders (rawHeaders: readonly string[]): string[]
+export interface ServingProtocol {
+  decodeCallerRequest (headers: IncomingHttpHeaders): CallerRequest
+  toBackendHeaders (rawHeaders: readonly string[], own: ForwardedMetadata): string[]
+  decodeResponseHead (head: ResponseHead): ResponseMetadata
+  toCallerHeaders (rawHeaders: readonly string[]): string[]
   decodeConfig (text: string): ServingConfig | undefined
   decodeServer (key: string, text: string): BackendServer | undefined
   serverIdOf (key: string): string
   /** Where the store keeps what the operator and backend servers write. */
-  keys: WireKeys
+  keys: StoreKeys
 }
--- a/packages/magnoliabay/src/node/serving/storeProxy.ts
+++ b/packages/magnoliabay/src/node/serving/storeProxy.ts
@@ -5,21 +5,21 @@
  * watch for it, goes by what that one tells, and says in its summaries how old that is.
  */
 import type { Clock } from '../clock'
-import { sleep, untilNextPeriod } from '../clock'
+import { sleep, delayToNextPeriod } from '../clock'
 import type { Logger } from '../logger'
 import { definePeerCall } from '../members'
 import type { Peers } from '../members'
-import { DOUBT_MS } from './servers'
+import { DOUBT_MS } from './serverList'
 
 /** How an instance hears the store. */
-export interface StoreSight {
+export interface StoreContact {
   /** Milliseconds since it last answered. */
   ageMs: number
   /** How long it has answered without a break, milliseconds; below 0 while it does not answer. */
   steadyMs: number
 }
 
-const watchCall = definePeerCall<Record<string, never>, StoreSight>('serving.watch-for-me')
+const watchCall = definePeerCall<Record<string, never>, StoreContact>('serving.watch-for-me')
 
 /** How often a proxy is asked, and says how it hears the store, milliseconds. */
 const ASK_PERIOD_MS = 250
@@ -38,7 +38,7 @@
 export interface StoreProxyOptions {
   peers: Peers
   isLeading: () => boolean
-  own: () => StoreSight
+  own: () => StoreContact
   /** Peers that may reach the store, the likeliest first. */
   candidates: () => readonly string[]
   /** A proxy is there: what it knows is to be fetched. */
@@ -49,7 +49,7 @@
 
 export interface StoreProxy {
   /** How the store is heard, by this instance itself or by its proxy. */
-  sight (): StoreSight
+  sight (): StoreContact
   /** Who watches for this instance. */
   current (): string | undefined
   /** For whom this instance watches. */
@@ -59,7 +59,7 @@
 
 interface Proxy {
   member: string
-  sight: StoreSight
+  sight: StoreContact
   atMs: number
 }
 
@@ -77,7 +77,7 @@
     return [...askedMs.keys()]
   }
   /** One that has just begun to watch has an answer within a call or two. */
-  const sightOf = ({ sight, atMs }: Proxy): StoreSight => {
+  const sightOf = ({ sight, atMs }: Proxy): StoreContact => {
     const passedMs = clock.monotonic() - atMs
     return { ageMs: sight.ageMs + passedMs, steadyMs: sight.steadyMs + passedMs }
   }
@@ -119,7 +119,7 @@
     start: async signal => {
       while (!signal.aborted) {
         await ask()
-        await sleep(clock, untilNextPeriod(clock, isLeading() ? ASK_PERIOD_MS : LOOK_PERIOD_MS), signal)
+        await sleep(clock, delayToNextPeriod(clock, isLeading() ? ASK_PERIOD_MS : LOOK_PERIOD_MS), signal)
       }
     }
   }
--- a/packages/magnoliabay/src/node/serving/storeFeeds.ts
+++ b/packages/magnoliabay/src/node/serving/storeWatches.ts
@@ -1,10 +1,10 @@
 /** What an instance reads and watches in the store, and how closely: the leader does so for all who follow it. */
-import { STORE_ROOT } from '../constants'
-import type { Store, WatchFeed } from '../store'
-import type { ConfigInForce } from './configInForce'
+import { STORE_KEY_PREFIX } from '../constants'
+import type { Store, PrefixWatch } from '../store'
+import type { ServingConfigProvider } from './servingConfigProvider'
 import type { Evacuations } from './evacuations'
-import type { Servers } from './servers'
-import type { ServingWire } from './wire'
+import type { ServerList } from './serverList'
+import type { ServingProtocol } from './servingProtocol'
 
 /**
  * Of configuration and servers' entries, for one who follows nobody, and so for the leader, by whom all others go: a
@@ -28,10 +28,10 @@
 const GATHER_ORDERS_MS = 10
 export interface StoreFeedsOptions {
   store: Pick<Store, 'watch'>
-  wire: Pick<ServingWire, 'keys'>
-  cfg: ConfigInForce
+  wire: Pick<ServingProtocol, 'keys'>
+  cfg: ServingConfigProvider
   evacuations: Evacuations
-  servers: Servers
+  servers: ServerList
   memberCount: () => number
   /** Whether this instance is to ask the store itself; members and leader are read once in any case. */
   isOwnTurn: () => boolean
@@ -44,8 +44,8 @@
 /** Passes on what the store tells of configuration, evacuations and servers. */
 export function watchStore ({ store, wire, cfg, evacuations, servers }: StoreFeedsOptions, signal: AbortSignal): void {
   store.watch(wire.keys.config, {
-    onSnapshot: ({ entries }) => entries.filter(entry => entry.key === wire.keys.config).forEach(entry => cfg.offer(entry.value, 'store')),
-    onEvent: event => { if (event.kind === 'put' && event.key === wire.keys.config) cfg.offer(event.value, 'store') }
+    onSnapshot: ({ entries }) => entries.filter(entry => entry.key === wire.keys.config).forEach(entry => cfg.applyIfNewer(entry.value, 'store')),
+    onEvent: event => { if (event.kind === 'put' && event.key === wire.keys.config) cfg.applyIfNewer(event.value, 'store') }
   }, signal)
   const domainOf = (key: string): string => key.slice(wire.keys.evacuations.length)
   store.watch(wire.keys.evacuations, {
@@ -59,12 +59,12 @@
 }
 
 /** One watching call for each; servers' entries change with each beat of each server. */
-export function createStoreFeeds ({ wire, memberCount, isOwnTurn, isProxy, isOrdering }: StoreFeedsOptions): WatchFeed[] {
+export function createStoreFeeds ({ wire, memberCount, isOwnTurn, isProxy, isOrdering }: StoreFeedsOptions): PrefixWatch[] {
   const waitMs = (otherwise: number) => (): number => isProxy() ? PROXY_WATCH_WAIT_MS : otherwise
   const gatherMembersMs = (): number => Math.min(MAX_GATHER_MS, Math.max(MIN_GATHER_MS, memberCount() * GATHER_PER_MEMBER_MS))
   return [
-    { prefix: wire.keys.operator, isWanted: isOwnTurn, gatherMs: () => MIN_GATHER_MS, waitMs: waitMs(PROMPT_WATCH_WAIT_MS) },
-    { prefix: STORE_ROOT, isWanted: isOwnTurn, isReadAtStart: true, gatherMs: gatherMembersMs, waitMs: waitMs(MEMBERS_WATCH_WAIT_MS) },
-    { prefix: wire.keys.servers, isWanted: isOwnTurn, gatherMs: () => isOrdering() ? GATHER_ORDERS_MS : GATHER_SERVERS_MS, waitMs: waitMs(PROMPT_WATCH_WAIT_MS) }
+    { prefix: wire.keys.operator, isEnabled: isOwnTurn, batchDelayMs: () => MIN_GATHER_MS, waitMs: waitMs(PROMPT_WATCH_WAIT_MS) },
+    { prefix: STORE_KEY_PREFIX, isEnabled: isOwnTurn, isReadAtStart: true, batchDelayMs: gatherMembersMs, waitMs: waitMs(MEMBERS_WATCH_WAIT_MS) },
+    { prefix: wire.keys.servers, isEnabled: isOwnTurn, batchDelayMs: () => isOrdering() ? GATHER_ORDERS_MS : GATHER_SERVERS_MS, waitMs: waitMs(PROMPT_WATCH_WAIT_MS) }
   ]
 }
--- a/packages/magnoliabay/src/node/serving/types.ts
+++ b/packages/magnoliabay/src/node/serving/types.ts
@@ -21,9 +21,9 @@
   /** Longest time that a request may stay open, milliseconds. */
   timeoutMs: number
   /** Latency objective: to the whole answer, or to the first event of a stream, milliseconds. */
-  objectiveMs: number
+  latencyObjectiveMs: number
   /** Longest pause between two events of a stream that meets its objective, milliseconds; 0 where none is set. */
-  eventGapMs: number
+  maxEventGapMs: number
   /** 0 is the most urgent. */
   priority: number
   /** Backend servers on which one client attempt may run. */
@@ -48,7 +48,7 @@
   /** Tokens that running requests and cached prefixes share. */
   kvTokens: number
   /** Memory for weights and adapters together. */
-  weightsMb: number
+  weightMemoryMb: number
   adapterCapacity: number
   /** Loads a second that the weight store allows over all engines. */
   storeLoadsPerSecond: number
@@ -57,7 +57,7 @@
 
 /** Servers of a service are cold for a while after their start, and crash well above some requests a second meanwhile. */
 export interface ColdStart {
-  lastsMs: number
+  durationMs: number
   requestsPerSecond: number
 }
 
@@ -81,7 +81,7 @@
   priority: number | undefined
   unit: AllowanceUnit
   /** Tokens of a request that does not tell its own. */
-  plainTokens: number
+  defaultTokens: number
   /** Units a second over the fleet; 0: no limit. */
   rate: number
   burst: number
@@ -131,7 +131,7 @@
 }
 
 /** Names one process of a backend server. */
-export function processOf (server: Pick<BackendServer, 'id' | 'bornMs'>): string {
+export function serverProcessId (server: Pick<BackendServer, 'id' | 'bornMs'>): string {
   return `${server.id}@${server.bornMs}`
 }
 
--- a/packages/magnoliabay/src/node/shutdown.ts
+++ b/packages/magnoliabay/src/node/shutdown.ts
@@ -5,7 +5,7 @@
  */
 import { createMachine, interpret, state, transition } from 'robot3'
 import type { Clock } from './clock'
-import { TIMED_OUT, sleep, withDeadline } from './clock'
+import { TIMED_OUT, sleep, withTimeout } from './clock'
 import type { Logger } from './logger'
 
 export type ShutdownPhase = 'serving' | 'leaving' | 'draining' | 'finishing' | 'stopped'
@@ -53,7 +53,7 @@
   }
   const bounded = async (step: string, task: Promise<void>): Promise<void> => {
     const ended = task.catch(() => logger.warn('shutdown-step-failed', { step }))
-    if (await withDeadline(clock, STEP_LIMIT_MS, ended) === TIMED_OUT) logger.warn('shutdown-step-late', { step })
+    if (await withTimeout(clock, STEP_LIMIT_MS, ended) === TIMED_OUT) logger.warn('shutdown-step-late', { step })
   }
   const shutDown = async (): Promise<void> => {
     const keptUntilMs = clock.monotonic() + options.locateKeepMs
--- a/packages/magnoliabay/src/node/store/reach.ts
+++ b/packages/magnoliabay/src/node/store/connectivity.ts
@@ -2,22 +2,22 @@
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
 
-export interface Reach {
+export interface StoreConnectivity {
   /** Undefined before the first call has ended. */
   isReachable (): boolean | undefined
   /** Monotonic milliseconds of the last answer to anything. */
   lastContactMs (): number
   /** Since when the store has answered every call, monotonic milliseconds; -Infinity from the start on, Infinity while it does not. */
-  steadySinceMs (): number
+  reachableSinceMs (): number
   /** The listener is called when the store is lost, when it answers again, and when it has gone back to an older copy. */
   onChanged (listener: () => void): void
   /** To be told how each call ended; `call` names it for the log. */
-  note (reached: boolean, call: string, reason: string): void
+  recordCall (reached: boolean, call: string, reason: string): void
   /**
    * The store answers, from an older copy of itself: what it has lacks whatever was written since, until that is written
    * again. As after an outage, what waits for an answer is asked anew, and what is missing counts as not known yet.
    */
-  noteSetBack (): void
+  recordRollback (): void
 }
 
 export interface ReachOptions {
@@ -27,7 +27,7 @@
   logger: Logger
 }
 
-export function createReach ({ address, clock, logger }: ReachOptions): Reach {
+export function createStoreConnectivity ({ address, clock, logger }: ReachOptions): StoreConnectivity {
   let lastContactMs = -Infinity
   let isReachable: boolean | undefined
   let steadySinceMs = Infinity
@@ -37,8 +37,8 @@
     onChanged: listener => { listeners.push(listener) },
     isReachable: () => isReachable,
     lastContactMs: () => lastContactMs,
-    steadySinceMs: () => steadySinceMs,
-    note: (reached, call, reason) => {
+    reachableSinceMs: () => steadySinceMs,
+    recordCall: (reached, call, reason) => {
       if (reached) lastContactMs = clock.monotonic()
       if (reached === isReachable) return
       // The first contact of a process says nothing of the store having been away.
@@ -48,7 +48,7 @@
       logger.info(reached ? 'store-reached' : 'store-lost', { address, call, reason })
       listeners.forEach(listener => listener())
     },
-    noteSetBack: () => {
+    recordRollback: () => {
       if (isReachable !== false) steadySinceMs = clock.monotonic()
       listeners.forEach(listener => listener())
     }
--- a/packages/magnoliabay/src/node/store/eras.ts
+++ b/packages/magnoliabay/src/node/store/eras.ts
@@ -36,6 +36,6 @@
   return leaseId.includes('.') ? Number(leaseId.split('.')[0]) : 0
 }
 
-export function toStoredLease (leaseId: string): number {
+export function toStoredLeaseId (leaseId: string): number {
   return Number(leaseId.split('.').at(-1))
 }
--- a/packages/magnoliabay/src/node/store/etcdWatch.ts
+++ b/packages/magnoliabay/src/node/store/etcdWatch.ts
@@ -15,7 +15,7 @@
  * and this instance would go on with an old configuration. A new watch starts with a snapshot, so
  * nothing that was missed stays missed.
  */
-export const SILENT_WATCH_MS = 20_000
+export const WATCH_IDLE_TIMEOUT_MS = 20_000
 
 export interface WatchRun {
   store: Store
@@ -34,7 +34,7 @@
   if (run.signal.aborted) return 'no longer wanted'
   guarded(run, run.prefix, () => run.handlers.onSnapshot(snapshot.val))
   const over = new AbortController()
-  const listenOn = (): (() => void) => run.clock.schedule(SILENT_WATCH_MS, () => over.abort('silent'))
+  const listenOn = (): (() => void) => run.clock.schedule(WATCH_IDLE_TIMEOUT_MS, () => over.abort('silent'))
   let cancelSilence = listenOn()
   const onLine = (line: string): void => {
     cancelSilence()
--- a/packages/magnoliabay/src/node/store/feeds.ts
+++ b/packages/magnoliabay/src/node/store/prefixWatches.ts
@@ -4,10 +4,10 @@
  * connection that the network has lost track of stays open and silent.
  */
 import type { Clock } from '../clock'
-import { repeat, sleep, untilNextPeriod } from '../clock'
+import { repeat, sleep, delayToNextPeriod } from '../clock'
 import type { Logger } from '../logger'
-import type { Reach } from './reach'
-import type { StoreError, WatchFeed } from './store'
+import type { StoreConnectivity } from './connectivity'
+import type { StoreError, PrefixWatch } from './store'
 
 /** An answer may come this much after the end of the wait that was asked for, milliseconds. */
 const WATCH_GRACE_MS = 1000
@@ -21,7 +21,7 @@
 /** How often it is looked whether a watch has waited for too long, milliseconds. */
 const OVERDUE_CHECK_MS = REST_MS
 
-export interface WatchCall {
+export interface WatchRequest {
   /** The revision after which events are wanted. */
   after: number
   /** How long the store is to wait for an event, milliseconds. */
@@ -33,22 +33,22 @@
 }
 
 /** How one call ended; `at` is the revision from which to go on. */
-export type WatchEnd =
-  | { kind: 'answered', at: number, hadEvents: boolean }
+export type WatchOutcome =
+  | { kind: 'answered', revision: number, hadEvents: boolean }
   | { kind: 'history-gone' }
   | { kind: 'cut' }
   | { kind: 'failed', err: StoreError }
 
-export interface FeedCalls {
+export interface WatchClient {
   /** Reads the feed whole and hands it to its readers; the revision from which to watch, or undefined where a read failed. */
-  readAll (feed: WatchFeed): Promise<number | undefined>
+  readAll (feed: PrefixWatch): Promise<number | undefined>
   /** One call; events go to the feed's readers. */
-  watch (feed: WatchFeed, call: WatchCall): Promise<WatchEnd>
+  watch (feed: PrefixWatch, call: WatchRequest): Promise<WatchOutcome>
 }
 
 export interface FeedsOptions {
-  calls: FeedCalls
-  reach: Pick<Reach, 'isReachable' | 'onChanged'>
+  client: WatchClient
+  connectivity: Pick<StoreConnectivity, 'isReachable' | 'onChanged'>
   clock: Clock
   logger: Logger
 }
@@ -57,7 +57,7 @@
 type CutReason = 'sent before the store was lost or back' | 'waits for longer than is now wanted' | 'stopped'
 
 interface OpenWatch {
-  feed: WatchFeed
+  feed: PrefixWatch
   /** Monotonic milliseconds. */
   sentMs: number
   cut: AbortController
@@ -69,7 +69,7 @@
 }
 
 /** Runs until `signal` aborts. While the store is out of reach the first feed tries, and the others follow when it gets through. */
-export function runFeeds (options: FeedsOptions, feeds: readonly WatchFeed[], signal: AbortSignal): void {
+export function runPrefixWatches (options: FeedsOptions, feeds: readonly PrefixWatch[], signal: AbortSignal): void {
   const open = new Set<OpenWatch>()
   const cutAll = (reason: CutReason): void => open.forEach(watch => watch.cut.abort(reason))
   // A watch may have been sent to wait for longer than is wanted now, and nothing tells whether it is still heard: only
@@ -80,14 +80,14 @@
   // The answer to what was sent before the store was lost, or before it was back, may never come. Waiting on, an
   // instance would go by old entries until that watch times out, though its other calls are answered. Whatever was
   // lost in the outage is sent again here, from the revision that is known.
-  options.reach.onChanged(() => cutAll('sent before the store was lost or back'))
+  options.connectivity.onChanged(() => cutAll('sent before the store was lost or back'))
   signal.addEventListener('abort', () => cutAll('stopped'), { once: true })
   repeat(options.clock, OVERDUE_CHECK_MS, signal, cutOverdue)
   feeds.forEach((feed, index) => { runFeed({ ...options, open }, feed, index === 0, signal) })
 }
 
-async function runFeed (run: Run, feed: WatchFeed, isProber: boolean, signal: AbortSignal): Promise<void> {
-  const { calls, reach, clock } = run
+async function runFeed (run: Run, feed: PrefixWatch, isProber: boolean, signal: AbortSignal): Promise<void> {
+  const { client: calls, connectivity: reach, clock } = run
   let at: number | undefined
   let retryMs = RETRY_MS
   let isFirst = feed.isReadAtStart ?? false
@@ -96,10 +96,10 @@
     retryMs = Math.min(MAX_RETRY_MS, retryMs * 2)
   }
   while (!signal.aborted) {
-    const isWanted = feed.isWanted() || isFirst
+    const isWanted = feed.isEnabled() || isFirst
     if (!isWanted) at = undefined
     if (!isWanted || (reach.isReachable() === false && !isProber)) {
-      await sleep(clock, untilNextPeriod(clock, REST_MS), signal)
+      await sleep(clock, delayToNextPeriod(clock, REST_MS), signal)
       continue
     }
     if (at === undefined) {
@@ -115,12 +115,12 @@
       continue
     }
     retryMs = RETRY_MS
-    at = end.kind === 'answered' ? Math.max(at, end.at) : undefined
-    if (end.kind === 'answered' && end.hadEvents) await sleep(clock, feed.gatherMs(), signal)
+    at = end.kind === 'answered' ? Math.max(at, end.revision) : undefined
+    if (end.kind === 'answered' && end.hadEvents) await sleep(clock, feed.batchDelayMs(), signal)
   }
 }
 
-async function watchOnce ({ calls, reach, open, clock, logger }: Run, feed: WatchFeed, after: number): Promise<WatchEnd> {
+async function watchOnce ({ client: calls, connectivity: reach, open, clock, logger }: Run, feed: PrefixWatch, after: number): Promise<WatchOutcome> {
   const waitMs = reach.isReachable() === false ? PROBE_WAIT_MS : feed.waitMs()
   const sentMs = clock.monotonic()
   const cut = new AbortController()
--- a/packages/magnoliabay/src/node/store/store.ts
+++ b/packages/magnoliabay/src/node/store/store.ts
@@ -88,17 +88,17 @@
 }
 
 /** A part of the keys that is watched by one call at a time, since the service counts each that waits. */
-export interface WatchFeed {
+export interface PrefixWatch {
   prefix: string
   /** While it is not, nothing is read; when it is again, everything is read anew. */
-  isWanted: () => boolean
+  isEnabled: () => boolean
   /**
    * Read once at the start, whether or not it is wanted.
    * @default false
    */
   isReadAtStart?: boolean
   /** Pause after a watch that brought events, milliseconds: what changes meanwhile comes in one answer instead of many. */
-  gatherMs: () => number
+  batchDelayMs: () => number
   /** How long one call waits for events, milliseconds. Longer waits cost fewer calls; a watch gone silent is noticed this much later. */
   waitMs: () => number
 }
--- a/packages/magnoliabay/src/node/tls/index.ts
+++ b/packages/magnoliabay/src/node/tls/index.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../clock'
 import type { ResolvedSettings } from '../config'
 import type { Logger } from '../logger'
-import { PLAIN_TRANSPORT } from '../members/transport'
+import { TCP_TRANSPORT } from '../members/transport'
 import type { PeerTransport } from '../members/transport'
 import { createCertificates } from './certificates'
 import type { CertificateFiles, Certificates } from './certificates'
@@ -13,9 +13,9 @@
 export { createHttpServer } from './httpServer'
 
 export interface InstanceTls {
-  callers: Certificates | undefined
-  operators: Certificates | undefined
-  transport: PeerTransport
+  callerCertificates: Certificates | undefined
+  operatorCertificates: Certificates | undefined
+  peerTransport: PeerTransport
   load (): Promise<void>
   start (signal: AbortSignal): void
 }
@@ -35,9 +35,9 @@
   const forPeers = read('peers', peers)
   const all = [forCallers, forOperators, forPeers].filter(certificates => certificates !== undefined)
   return {
-    callers: forCallers,
-    operators: forOperators,
-    transport: forPeers === undefined ? PLAIN_TRANSPORT : createTlsTransport({ certificates: forPeers, logger }),
+    callerCertificates: forCallers,
+    operatorCertificates: forOperators,
+    peerTransport: forPeers === undefined ? TCP_TRANSPORT : createTlsTransport({ certificates: forPeers, logger }),
     load: async () => { await Promise.all(all.map(certificates => certificates.load())) },
     start: signal => all.forEach(certificates => certificates.start(signal))
   }
--- a/packages/magnoliabay/src/node/activity.ts
+++ b/packages/magnoliabay/src/node/wakeups.ts
@@ -6,15 +6,15 @@
 import { addCount } from './utils'
 
 /** `peer` with the kind of frame or message, `caller` a request, `server` bytes of an answer. */
-export type ActivityCause = 'timer' | 'caller' | 'server' | `peer ${string}`
+export type WakeupCause = 'timer' | 'caller' | 'server' | `peer ${string}`
 
-export interface Activity {
-  note (cause: ActivityCause): void
+export interface WakeupCounter {
+  note (cause: WakeupCause): void
   /** Since the start of the process. */
   counts (): ReadonlyMap<string, number>
 }
 
-export function createActivity (): Activity {
+export function createWakeupCounter (): WakeupCounter {
   const counts = new Map<string, number>()
   return {
     note: cause => addCount(counts, cause, 1),
@@ -23,6 +23,6 @@
 }
 
 /** Turns of the event loop since the start of the process; 0 where the runtime does not count them. */
-export function loopTurns (): number {
+export function eventLoopIterations (): number {
   return (performance.nodeTiming as { uvMetricsInfo?: { loopCount: number } }).uvMetricsInfo?.loopCount ?? 0
 }
--- a/packages/standins/src/node/admin.ts
+++ b/packages/standins/src/node/admin.ts
@@ -20,9 +20,9 @@
 /** Sees a stand-in's typed switches as an {@link AdminTarget}. */
 export function createAdminTarget<T extends object> (switches: FaultSwitches<T>, records: () => unknown): AdminTarget {
   return {
-    faults: () => switches.now,
+    faults: () => switches.current,
     setFaults: async changes => {
-      const known: JsonObject = { ...switches.now }
+      const known: JsonObject = { ...switches.current }
       const wrong = Object.entries(changes).filter(([name, value]) => typeof value !== typeof known[name])
       if (wrong.length === 0) await switches.set(changes as Partial<T>)
       return wrong.map(([name]) => name)
--- a/packages/standins/src/node/engine/state.ts
+++ b/packages/standins/src/node/engine/standIn.ts
@@ -22,8 +22,8 @@
 import { TEAM_HEADER, resolveEngineOptions } from './types'
 import type { EngineOptions, EngineRequestRecord, GenerateRequest, Refusal, RefusalKind } from './types'
 
-export type EngineLifeEvent = 'crashed' | 'started'
-export type EngineLifeListener = (event: EngineLifeEvent) => void | Promise<void>
+export type EngineLifecycleEvent = 'crashed' | 'started'
+export type EngineLifecycleListener = (event: EngineLifecycleEvent) => void | Promise<void>
 
 export interface EngineRecords {
   requests: readonly EngineRequestRecord[]
@@ -38,7 +38,7 @@
   readonly id: string
   readonly faults: FaultSwitches<EngineFaults>
   /** Undefined when the process died before the order was carried out. */
-  carryOut (order: Order): Promise<OrderReply | undefined>
+  executeOrder (order: Order): Promise<OrderReply | undefined>
   /** Begins a request. */
   submit (request: GenerateRequest): Result<Run, Refusal>
   /** False when no such request is open. */
@@ -53,15 +53,15 @@
   records (): EngineRecords
   isDown (): boolean
   /** From now on new requests are refused as not run. */
-  leave (): void
-  onLife (listener: EngineLifeListener): void
+  startDraining (): void
+  onLifecycle (listener: EngineLifecycleListener): void
   /** Ends every run and timer. */
   close (): Promise<void>
 }
 
 const RESUME_HOLD_MS = 30_000
 
-export function createEngineState (options: EngineOptions): EngineStandIn {
+export function createEngineStandIn (options: EngineOptions): EngineStandIn {
   const faults = options.faults ?? createEngineFaults()
   const engine = resolveEngineOptions(options, faults)
   const { id, clock } = engine
@@ -71,7 +71,7 @@
   const meter = createLoadMeter(clock, engine.loadReportLagMs)
   const runner = createRunner({ engine, prefixes, meter, crash: () => crashByPrompt() })
   const requests: EngineRequestRecord[] = []
-  const lifeListeners: EngineLifeListener[] = []
+  const lifeListeners: EngineLifecycleListener[] = []
   const runs = new Map<string, Run>()
   const pastOrders: OrderRecord[] = []
   let life = new AbortController()
@@ -85,7 +85,7 @@
 
   const incarnation = (): string => `${id}-${lives}`
 
-  const tell = async (event: EngineLifeEvent): Promise<void> => {
+  const tell = async (event: EngineLifecycleEvent): Promise<void> => {
     await Promise.allSettled(lifeListeners.map(listener => listener(event)))
   }
 
@@ -111,7 +111,7 @@
 
   const crashByPrompt = (): void => {
     faults.set({ crash: true })
-    const { restartAfterMs } = faults.now
+    const { restartAfterMs } = faults.current
     if (restartAfterMs > 0) cancelRestart = clock.schedule(restartAfterMs, () => faults.set({ crash: false }))
   }
 
@@ -123,7 +123,7 @@
   const refusal = (request: GenerateRequest, model: string | undefined): RefusalKind | undefined => {
     if (life.signal.aborted) return 'down'
     if (leaving) return 'leaving'
-    if (faults.now.refuse) return 'refusing'
+    if (faults.current.refuse) return 'refusing'
     if (request.prompt === '') return 'invalid'
     return model === undefined ? 'unknown-model' : undefined
   }
@@ -199,7 +199,7 @@
     faults,
     submit,
     state,
-    carryOut: order => desk.carryOut(order),
+    executeOrder: order => desk.carryOut(order),
     cancel: requestId => {
       const run = runs.get(requestId)
       if (run === undefined || run.signal.aborted) return false
@@ -219,8 +219,8 @@
       overcommitAttempts: memory.attempts()
     }),
     isDown: () => life.signal.aborted,
-    leave: () => { leaving = true },
-    onLife: listener => { lifeListeners.push(listener) },
+    startDraining: () => { leaving = true },
+    onLifecycle: listener => { lifeListeners.push(listener) },
     close: () => {
       cancelRestart()
       return die()
--- a/packages/standins/src/node/faults.ts
+++ b/packages/standins/src/node/faults.ts
@@ -5,7 +5,7 @@
 
 export interface FaultSwitches<T extends object> {
   /** The faults in force now. */
-  readonly now: Readonly<T>
+  readonly current: Readonly<T>
   /** Takes hold at once, but for sockets that open or close; those have when the promise resolves. */
   set (changes: Partial<T>): Promise<void>
   reset (): Promise<void>
@@ -24,7 +24,7 @@
     await Promise.allSettled(listeners.map(listener => listener(now, changes)))
   }
   return {
-    now,
+    current: now,
     set,
     reset: () => set({ ...defaults }),
     onChange: listener => { listeners.push(listener) }
--- a/packages/standins/src/node/fleet.ts
+++ b/packages/standins/src/node/fleet.ts
@@ -5,7 +5,7 @@
 import type { Clock } from 'magnoliabay/clock/index'
 import { createAdminServer, createAdminTarget } from './admin'
 import type { AdminTarget } from './admin'
-import { createEngineServer, createEngineState } from './engine'
+import { createEngineServer, createEngineStandIn } from './engine'
 import type { EngineOptions, EngineServer, EngineStandIn } from './engine'
 import { createKvServer, createKvState } from './kv'
 import type { KvServer, KvState } from './kv'
@@ -82,9 +82,9 @@
   /** `ip:port` of the server that switches the faults of all: `/<name>/faults`, `/<name>/records`. */
   readonly adminAddress: string
   /** An engine or service takes nothing new, and the list says so after its lag. */
-  leave (id: string): void
+  startDraining (id: string): void
   /** An instance is taken away at once; the list says so after its lag. */
-  reclaim (id: string): Promise<void>
+  removeInstance (id: string): Promise<void>
   close (): Promise<void>
 }
 
@@ -110,7 +110,7 @@
   const startEngine = async (own: FleetEngineOptions, index: number): Promise<FleetEngine> => {
     const { failureDomain = domainOf(index), accelerators = 1, ...rest } = { ...options.engineDefaults, ...own }
     const id = rest.id ?? `engine-${index + 1}`
-    const state = createEngineState({ ...rest, id, clock, weights })
+    const state = createEngineStandIn({ ...rest, id, clock, weights })
     const server = await createEngineServer({ engine: state, clock, host, port: portOf(ports.firstEngine, index) })
     const { checksFence, memoryMiB = MEMORY_MIB } = state.state()
     listState.set({
@@ -130,7 +130,7 @@
 
   const engines = await Promise.all(listEngines(options.engines ?? ENGINES).map(startEngine))
   const services = await Promise.all((options.services ?? SERVICES).map(startService))
-  listState.catchUp()
+  listState.flush()
 
   const targets = new Map<string, AdminTarget>([
     ['kv', kv.admin],
@@ -148,12 +148,12 @@
     engines,
     services,
     adminAddress: admin.address,
-    leave: id => {
+    startDraining: id => {
       listState.setStatus(id, 'leaving')
-      engines.find(engine => engine.id === id)?.state.leave()
-      services.find(service => service.id === id)?.state.leave()
+      engines.find(engine => engine.id === id)?.state.startDraining()
+      services.find(service => service.id === id)?.state.startDraining()
     },
-    reclaim: async id => {
+    removeInstance: async id => {
       listState.remove(id)
       await [...engines, ...services].find(instance => instance.id === id)?.close()
     },
--- a/packages/standins/src/node/kv/leases.ts
+++ b/packages/standins/src/node/kv/leases.ts
@@ -15,14 +15,14 @@
   renew (id: string): Result<KvLease, KvError>
   revoke (id: string): Result<void, KvError>
   list (): readonly KvLease[]
-  copy (): KvLeasesCopy
+  copy (): KvLeasesSnapshot
   /** Goes on from a copy: its leases have as long to live as they had then. */
-  setBack (copy: KvLeasesCopy): void
+  setBack (copy: KvLeasesSnapshot): void
   /** Stops all timers. */
   close (): void
 }
 
-export interface KvLeasesCopy {
+export interface KvLeasesSnapshot {
   nextId: number
   leases: ReadonlyArray<{ id: string, ttlSeconds: number, leftMs: number, keys: readonly string[] }>
 }
--- a/packages/standins/src/node/kv/state.ts
+++ b/packages/standins/src/node/kv/state.ts
@@ -6,7 +6,7 @@
 import type { Result } from 'magnoliabay/result'
 import { createKvHistory } from './history'
 import { createKvLeases } from './leases'
-import type { KvLeasesCopy } from './leases'
+import type { KvLeasesSnapshot } from './leases'
 import { NO_LEASE, inRange } from './types'
 import type {
   KvCompare, KvEntry, KvError, KvEvent, KvEventListener, KvLease, KvOperation, KvOperationResult, KvRange,
@@ -22,21 +22,21 @@
 }
 
 /** All that the state holds at a moment. */
-export interface KvCopy {
+export interface KvSnapshot {
   revision: number
   entries: readonly KvEntry[]
-  leases: KvLeasesCopy
+  leases: KvLeasesSnapshot
 }
 
 export interface KvState {
   revision (): number
-  /** Rises by one with each {@link KvState.setBack}; 0 until the first. */
+  /** Rises by one with each {@link KvState.restore}; 0 until the first. */
   era (): number
-  copy (): KvCopy
+  snapshot (): KvSnapshot
   /** Goes on from an older copy: what was written since is gone, and revisions and lease numbers are given out again. */
-  setBack (copy: KvCopy): void
+  restore (snapshot: KvSnapshot): void
   /** Called with the next one only. */
-  onSetBack (listener: () => void): void
+  onRestore (listener: () => void): void
   range (range: KvRange): readonly KvEntry[]
   transact (transaction: KvTransaction): Result<KvTransactionResult, KvError>
   /** Watches from `startRevision`, or from the next change when it is 0. */
@@ -149,9 +149,9 @@
       ? { kind: 'compacted', compactRevision: revision }
       : history.watch(wanted, startRevision, listener),
     era: () => era,
-    onSetBack: listener => { setBackListeners.push(listener) },
-    copy: () => ({ revision, entries: [...entries.values()], leases: leases.copy() }),
-    setBack: copy => {
+    onRestore: listener => { setBackListeners.push(listener) },
+    snapshot: () => ({ revision, entries: [...entries.values()], leases: leases.copy() }),
+    restore: copy => {
       era += 1
       revision = copy.revision
       entries.clear()
--- a/packages/standins/src/node/weights/index.ts
+++ b/packages/standins/src/node/weights/index.ts
@@ -63,7 +63,7 @@
   const { clock } = options
   const random = createRandom(options.seed ?? 1)
   const faults = createFaultSwitches<WeightFaults>({ slowdown: 1 })
-  const slowdown = (): number => faults.now.slowdown
+  const slowdown = (): number => faults.current.slowdown
   const spacingMs = MS_PER_SECOND / (options.loadsPerSecond ?? LOADS_PER_SECOND)
   const msPerMiB = (options.loadMsPerGiB ?? LOAD_MS_PER_GIB) / MIB_PER_GIB
   const models = createSharedRate({ clock, slots: options.fullSpeedLoads ?? FULL_SPEED_LOADS, slowdown })
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -3,9 +3,9 @@
  * ends with 0 only if every check held.
  */
 import { request } from 'undici'
-import { startEmbedded } from '../packages/magnoliabay/src/node/commands/embedded'
-import type { Embedded } from '../packages/magnoliabay/src/node/commands/embedded'
-import { EMBEDDED_SERVICE, EMBEDDED_SMALL_TEAM } from '../packages/magnoliabay/src/node/commands/embeddedFleet'
+import { startEmbeddedFleet } from '../packages/magnoliabay/src/node/commands/embedded'
+import type { EmbeddedFleet } from '../packages/magnoliabay/src/node/commands/embedded'
+import { EMBEDDED_SERVICE, EMBEDDED_SMALL_TEAM } from '../packages/magnoliabay/src/node/commands/embeddedConfig'
 import { createLogger } from '../packages/magnoliabay/src/node/logger'
 
 const BURST_PER_ENTRY = 4
@@ -36,7 +36,7 @@
 const isWhole = (answer: Answer): boolean => answer.status === 200 && answer.text.trimEnd().endsWith('data: [DONE]')
 const codeOf = (answer: Answer): string => (JSON.parse(answer.text) as { error: { code: string } }).error.code
 
-async function coldStart ({ entries, callerKey, models, standIns }: Embedded): Promise<void> {
+async function coldStart ({ entryUrls: entries, callerKey, models, standIns }: EmbeddedFleet): Promise<void> {
   const located = await call(`${entries[0]}/v1/locate?model=${models[0]}`, callerKey)
   const { addresses } = JSON.parse(located.text) as { addresses: Array<{ address: string, failure_domain: string }> }
   const domains = new Set(addresses.map(address => address.failure_domain))
@@ -51,7 +51,7 @@
   check('the model was loaded once', loaded.length === 1, `${loaded.length} replica(s)`)
 }
 
-async function onceOnly ({ entries, callerKey, standIns }: Embedded): Promise<void> {
+async function onceOnly ({ entryUrls: entries, callerKey, standIns }: EmbeddedFleet): Promise<void> {
   const headers = { 'idempotency-key': 'note-17' }
   const note = { tins: 12, residueKg: 3.5 }
   const first = await call(`${entries[0]}/v1/services/${EMBEDDED_SERVICE}/transfer-notes`, callerKey, note, headers)
@@ -61,7 +61,7 @@
   check('the repeat gets the same answer at another instance', first.text === second.text, second.text.slice(0, 60))
 }
 
-async function overAllowance ({ entries, operators, models }: Embedded): Promise<void> {
+async function overAllowance ({ entryUrls: entries, operatorClient: operators, models }: EmbeddedFleet): Promise<void> {
   const { key } = await operators.createKey(EMBEDDED_SMALL_TEAM)
   await pause(KEY_IN_FORCE_MS)
   const body = { model: models[0], max_tokens: 5000, messages: [{ role: 'user', content: 'everything, please' }] }
@@ -69,7 +69,7 @@
   check('a request over the allowance is refused, not run', answer.status === 429 && answer.text.includes('"not_run":true'), codeOf(answer))
 }
 
-async function withdrawnKey ({ entries, callerKey, callerKeyId, operators, models }: Embedded): Promise<void> {
+async function withdrawnKey ({ entryUrls: entries, callerKey, callerKeyId, operatorClient: operators, models }: EmbeddedFleet): Promise<void> {
   await operators.withdrawKey(callerKeyId)
   await pause(KEY_IN_FORCE_MS)
   const body = { model: models[0], messages: [{ role: 'user', content: 'let me in' }] }
@@ -77,13 +77,13 @@
   check('a withdrawn key works nowhere', answers.every(answer => answer.status === 401), answers.map(codeOf).join(', '))
 }
 
-function keyStaysInside ({ standIns, callerKey }: Embedded): void {
+function keyStaysInside ({ standIns, callerKey }: EmbeddedFleet): void {
   const seen = JSON.stringify(standIns.engines.flatMap(engine => engine.state.records()))
   check('no backend server saw the key', !seen.includes(callerKey), `${standIns.engines.length} engines`)
 }
 
 async function main (): Promise<void> {
-  const embedded = await startEmbedded({ logger: createLogger({ level: 'warn' }) })
+  const embedded = await startEmbeddedFleet({ logger: createLogger({ level: 'warn' }) })
   await coldStart(embedded)
   await onceOnly(embedded)
   await overAllowance(embedded)
--- a/scripts/fleet.ts
+++ b/scripts/fleet.ts
@@ -5,8 +5,8 @@
 import { parseArgs } from 'node:util'
 import { FAULTS } from './fleet/faults'
 import type { Fault } from './fleet/faults'
-import { takeMeasures } from './fleet/measures'
-import { checkPromises } from './fleet/promises'
+import { computeMeasurements } from './fleet/measurements'
+import { checkGuarantees } from './fleet/guarantees'
 import { formatRuns, writeReports } from './fleet/report'
 import type { FaultRun } from './fleet/report'
 import { createWorld } from './fleet/world'
@@ -53,8 +53,8 @@
       fault: { name: fault.name, what: fault.what },
       seed: options.seed,
       tookMs: Date.now() - startedMs,
-      verdicts: checkPromises(world),
-      measures: takeMeasures(world),
+      verdicts: checkGuarantees(world),
+      measures: computeMeasurements(world),
       points
     }
   } finally {
--- a/scripts/fleet/callers.ts
+++ b/scripts/fleet/callers.ts
@@ -4,8 +4,8 @@
 import { messageOf } from '../../packages/magnoliabay/src/node/utils'
 import type { Random } from './random'
 import type { CallRecord, Observations } from './records'
-import { MODELS, SERVICE, TEAMS } from './site'
-import type { SiteTeam } from './site'
+import { MODELS, SERVICE, TEAMS } from './fleetConfig'
+import type { SiteTeam } from './fleetConfig'
 
 export interface TeamKey {
   id: string
--- a/scripts/fleet/site.ts
+++ b/scripts/fleet/fleetConfig.ts
@@ -43,7 +43,7 @@
 }))
 
 /** The configuration in TOML; `extraModels` are models that a change adds while the check runs. */
-export function siteConfig (extraModels: readonly string[] = []): string {
+export function fleetConfigToml (extraModels: readonly string[] = []): string {
   const teams = TEAMS.map(team => `[[team]]
 name = "${team.name}"
 tokensPerSecond = ${team.tokensPerSecond}
--- a/scripts/fleet/promises.ts
+++ b/scripts/fleet/guarantees.ts
@@ -5,10 +5,10 @@
 import { countTokens, createAnswer } from '@magnoliabay/standins'
 import type { EngineRequestRecord } from '@magnoliabay/standins'
 import type { CallRecord } from './records'
-import { LIST_LAG_MS, MODELS, TEAMS } from './site'
+import { LIST_LAG_MS, MODELS, TEAMS } from './fleetConfig'
 import type { World } from './world'
 
-export interface Verdict {
+export interface GuaranteeResult {
   promise: string
   /** Facts looked at. */
   checked: number
@@ -30,7 +30,7 @@
   runs: ReadonlyMap<string, readonly EngineRequestRecord[]>
 }
 
-type Check = (facts: Facts) => Omit<Verdict, 'promise' | 'isSafety'>
+type Check = (facts: Facts) => Omit<GuaranteeResult, 'promise' | 'isSafety'>
 
 interface PromiseCheck {
   promise: string
@@ -38,7 +38,7 @@
   check: Check
 }
 
-export function checkPromises (world: World): Verdict[] {
+export function checkGuarantees (world: World): GuaranteeResult[] {
   const facts: Facts = { world, calls: world.observations.calls, runs: runsByCall(world) }
   return CHECKS.map(({ promise, isSafety, check }) => ({ promise, isSafety, ...check(facts) }))
 }
--- a/scripts/fleet/measures.ts
+++ b/scripts/fleet/measurements.ts
@@ -3,7 +3,7 @@
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 import type { CallRecord } from './records'
-import { TEAMS } from './site'
+import { TEAMS } from './fleetConfig'
 import type { World } from './world'
 
 export interface Quantiles {
@@ -20,7 +20,7 @@
   answeredShare: number
 }
 
-export interface Measures {
+export interface Measurements {
   calls: number
   byResult: Record<string, number>
   byCode: Record<string, number>
@@ -40,7 +40,7 @@
 const MS_PER_HOUR = 3_600_000
 const MAX_TOKENS = 32
 
-export function takeMeasures (world: World): Measures {
+export function computeMeasurements (world: World): Measurements {
   const { calls } = world.observations
   const completions = calls.filter(call => call.kind === 'completion')
   const cold = completions.filter(call => !isLoadedAt(world, call))
--- a/scripts/fleet/processes.ts
+++ b/scripts/fleet/processes.ts
@@ -7,7 +7,7 @@
 import type { AddressInfo } from 'node:net'
 import { request } from 'undici'
 import type { StandInFleet } from '@magnoliabay/standins'
-import { FAILURE_DOMAINS, REGION } from './site'
+import { FAILURE_DOMAINS, REGION } from './fleetConfig'
 
 export type EndKind = 'killed' | 'shut-down' | 'died'
 
@@ -36,7 +36,7 @@
   operatorKey: string
 }
 
-export interface Processes {
+export interface InstanceProcesses {
   /** Every process ever started. */
   all (): readonly InstanceProcess[]
   live (): readonly InstanceProcess[]
@@ -47,7 +47,7 @@
   shutDown (instance: InstanceProcess): Promise<void>
   pause (instance: InstanceProcess): void
   resume (instance: InstanceProcess): void
-  endAll (): Promise<void>
+  stopAll (): Promise<void>
 }
 
 const PROGRAM = 'dist/magnoliabay.cjs'
@@ -58,7 +58,7 @@
 
 const pause = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms))
 
-export function createProcesses (options: ProcessesOptions): Processes {
+export function createInstanceProcesses (options: ProcessesOptions): InstanceProcesses {
   const { standIns, directory } = options
   const all: InstanceProcess[] = []
   mkdirSync(directory, { recursive: true })
@@ -139,7 +139,7 @@
       instance.pauses.push({ fromMs: Date.now(), toMs: Infinity })
     },
     resume,
-    endAll: async () => {
+    stopAll: async () => {
       const open = all.filter(instance => instance.end === undefined)
       open.forEach(instance => {
         resume(instance)
--- a/scripts/fleet/report.ts
+++ b/scripts/fleet/report.ts
@@ -1,16 +1,16 @@
 /** What a run showed: as text, as JSON, and as a page with plots. */
 import { writeFileSync } from 'node:fs'
 import type { Fault } from './faults'
-import type { Measures } from './measures'
-import type { Verdict } from './promises'
+import type { Measurements } from './measurements'
+import type { GuaranteeResult } from './guarantees'
 import type { CallRecord } from './records'
 
 export interface FaultRun {
   fault: Pick<Fault, 'name' | 'what'>
   seed: number
   tookMs: number
-  verdicts: readonly Verdict[]
-  measures: Measures
+  verdicts: readonly GuaranteeResult[]
+  measures: Measurements
   /** For the plot: seconds since the start, milliseconds to the first byte. */
   points: ReadonlyArray<{ atSeconds: number, firstByteMs: number, result: CallRecord['result'] }>
 }
@@ -31,11 +31,11 @@
   return [head, ...table, '', 'violations:', ...(violations.length === 0 ? ['  none'] : violations), '', 'measures:', ...measures].join('\n')
 }
 
-function cellOf (verdict: Verdict): string {
+function cellOf (verdict: GuaranteeResult): string {
   return `${verdict.violations.length}/${verdict.checked}`
 }
 
-function formatMeasures (measures: Measures): string {
+function formatMeasures (measures: Measurements): string {
   const { coldStart, warmStart } = measures
   return [
     `calls ${measures.calls}`,
--- a/scripts/fleet/world.ts
+++ b/scripts/fleet/world.ts
@@ -6,13 +6,13 @@
 import type { OperatorClient } from '../../packages/magnoliabay/src/node/operators/client'
 import { createCallers } from './callers'
 import type { Callers, TeamKey } from './callers'
-import { createProcesses } from './processes'
-import type { InstanceProcess, Processes } from './processes'
+import { createInstanceProcesses } from './processes'
+import type { InstanceProcess, InstanceProcesses } from './processes'
 import { createRandom } from './random'
 import type { Random } from './random'
 import { createObservations } from './records'
 import type { ConfigProbe, Observations } from './records'
-import { ENGINES, ENGINE_MEMORY_MIB, FAILURE_DOMAINS, LIST_LAG_MS, REGION, SERVICE, TEAMS, siteConfig } from './site'
+import { ENGINES, ENGINE_MEMORY_MIB, FAILURE_DOMAINS, LIST_LAG_MS, REGION, SERVICE, TEAMS, fleetConfigToml } from './fleetConfig'
 
 export interface WorldOptions {
   seed: number
@@ -25,7 +25,7 @@
 export interface World {
   readonly random: Random
   readonly standIns: StandInFleet
-  readonly processes: Processes
+  readonly processes: InstanceProcesses
   readonly callers: Callers
   readonly observations: Observations
   operators (): OperatorClient
@@ -58,7 +58,7 @@
     listLagMs: LIST_LAG_MS,
     weights: { loadsPerSecond: 2, fullSpeedLoads: 4, loadMsPerGiB: 60, seed: options.seed }
   })
-  const processes = createProcesses({ standIns, directory: options.directory, operatorKey: OPERATOR_KEY })
+  const processes = createInstanceProcesses({ standIns, directory: options.directory, operatorKey: OPERATOR_KEY })
   const keys = new Map<string, TeamKey>()
   const extraModels: string[] = []
   let nextInstance = 1
@@ -73,7 +73,7 @@
   }
   const first = Array.from({ length: options.instances }, addInstance)
   await pause(1500)
-  await operators().applyConfig(siteConfig())
+  await operators().applyConfig(fleetConfigToml())
   await Promise.all(first)
   await Promise.all(TEAMS.map(async team => keys.set(team.name, await operators().createKey(team.name))))
 
@@ -115,7 +115,7 @@
     const model = `added-${extraModels.length + 1}`
     extraModels.push(model)
     const watched = processes.live()
-    await operators().applyConfig(siteConfig(extraModels))
+    await operators().applyConfig(fleetConfigToml(extraModels))
     const probe: ConfigProbe = { model, appliedAtMs: Date.now(), listedAtMs: {}, reverted: [], expected: [] }
     observations.probes.push(probe)
     const lastMs = Date.now() + PROBE_WATCH_MS
@@ -150,12 +150,12 @@
       keys.set(team, created)
     },
     leaveEngine: id => {
-      standIns.leave(id)
+      standIns.startDraining(id)
       observations.leavings.push({ id, atMs: Date.now() })
     },
     close: async () => {
       clearInterval(sampler)
-      await processes.endAll()
+      await processes.stopAll()
       await standIns.close()
     }
   }
--- a/scripts/judge.ts
+++ b/scripts/judge.ts
@@ -1,4 +1,4 @@
 /** `tsx scripts/judge.ts REPORT`: see judgeTests.ts. */
-import { judgeFiles } from './judgeTests'
+import { checkTestReportFile } from './judgeTests'
 
-process.exit(judgeFiles(process.argv[2]!, 'KNOWN-RED.txt'))
+process.exit(checkTestReportFile(process.argv[2]!, 'KNOWN-RED.txt'))
--- a/scripts/judgeTests.ts
+++ b/scripts/judgeTests.ts
@@ -11,7 +11,7 @@
   failures: Array<{ fullTitle: string, err: { message?: string, stack?: string } }>
 }
 
-export interface Verdict {
+export interface TestReportResult {
   lines: string[]
   isGood: boolean
 }
@@ -19,7 +19,7 @@
 const MOST_KNOWN_RED = 3
 
 /** `knownRed` has one line for each test: its full title, ` | `, the cause, ` | `, the issue. */
-export function judgeTests (report: TestReport, knownRed: string): Verdict {
+export function checkTestReport (report: TestReport, knownRed: string): TestReportResult {
   const entries = knownRed.split('\n').filter(line => line.trim() !== '').map(line => ({ line, title: line.split(' | ')[0]!.trim() }))
   const known = new Set(entries.map(entry => entry.title))
   const unknown = report.failures.filter(test => !known.has(test.fullTitle))
@@ -43,9 +43,9 @@
 }
 
 /** Reads the report and the list, prints the verdict and returns the exit code. */
-export function judgeFiles (reportFile: string, knownRedFile: string): number {
+export function checkTestReportFile (reportFile: string, knownRedFile: string): number {
   const report = JSON.parse(readFileSync(reportFile, 'utf8')) as TestReport
-  const verdict = judgeTests(report, existsSync(knownRedFile) ? readFileSync(knownRedFile, 'utf8') : '')
+  const verdict = checkTestReport(report, existsSync(knownRedFile) ? readFileSync(knownRedFile, 'utf8') : '')
   process.stdout.write(`${verdict.lines.join('\n')}\n`)
   return verdict.isGood ? 0 : 1
 }
