--- a/bench/allowance/policies.ts
+++ b/bench/allowance/policies.ts
@@ -73,7 +73,7 @@
   return {
     reserve: async ({ team, instance, reserved }) => {
       const share = parts.get(team.name)![instance]!
-      const ticket = share.take(reserved, clock.monotonic())
+      const ticket = share.tryTake(reserved, clock.monotonic())
       return ticket === undefined ? undefined : used => share.settle(ticket, used, clock.monotonic())
     },
     setStoreDown: () => {},
@@ -92,7 +92,7 @@
       if (isStoreDown) return undefined
       calls += 1
       const bucket = buckets.get(team.name)!
-      const ticket = bucket.take(reserved, clock.monotonic())
+      const ticket = bucket.tryTake(reserved, clock.monotonic())
       await new Promise<void>(resolve => { clock.schedule(STORE_DELAY_MS, resolve) })
       if (ticket === undefined) return undefined
       return used => {
--- a/packages/magnoliabay/src/node/allowance/__tests__/testFleet.ts
+++ b/packages/magnoliabay/src/node/allowance/__tests__/testFleet.ts
@@ -1,4 +1,4 @@
-/** Members with real allowances over a network, a store and a clock in memory. */
+/** Members with real allowances over an in-memory network, store and clock. */
 import { createDirectStore, createKvCallCounter, createKvFaults, createKvState } from '@magnoliabay/standins'
 import type { Clock } from '../../clock'
 import { createVirtualClock } from '../../clock/virtual'
@@ -15,7 +15,7 @@
 
 export interface Spending {
   atMs: number
-  /** Reserved, until settled to what was used. */
+  /** Reserved tokens; after settling, the used tokens. */
   tokens: number
 }
 
@@ -34,7 +34,7 @@
   regionOf?: (id: string) => string
 }
 
-function createTeamsInForce (rate: number, burst: number): TestMember['cfg'] {
+function createActiveTeams (rate: number, burst: number): TestMember['cfg'] {
   const changed = createListeners<[]>()
   const sized = (tokensPerSecond: number, burstTokens: number): TeamAllowanceConfig => ({ name: TEAM, tokensPerSecond, burstTokens })
   let team = sized(rate, burst)
@@ -48,7 +48,7 @@
   }
 }
 
-/** A clock whose callbacks wait while its process is paused; time goes on. */
+/** Creates a clock whose callbacks wait while its process is paused; its time continues. */
 function createPausableClock (clock: Clock) {
   const held: Array<() => void> = []
   let isPaused = false
@@ -96,12 +96,12 @@
       leaving: false,
       processorShare: 0
     }
-    const own = createPausableClock(clock)
-    const cfg = createTeamsInForce(rate, burst)
+    const pausableClock = createPausableClock(clock)
+    const cfg = createActiveTeams(rate, burst)
     const store = createDirectStore(kv, { clock, faults, counter, caller: id })
     const stop = new AbortController()
-    const allowance = createAllowance({ cfg, peers: network.join(record), store, clock: own, logger: createSilentLogger(), proofs })
-    const member = { record, allowance, cfg, stop, pause: own.pause, resume: own.resume }
+    const allowance = createAllowance({ cfg, peers: network.join(record), store, clock: pausableClock, logger: createSilentLogger(), proofs })
+    const member = { record, allowance, cfg, stop, pause: pausableClock.pause, resume: pausableClock.resume }
     members.set(id, member)
     allowance.start(stop.signal)
     return member
@@ -114,13 +114,14 @@
     members.delete(id)
     return { member: id, incarnation: member.record.incarnation }
   }
-  const prove = (process: ProcessId): void => {
+  const proveTerminated = (process: ProcessId): void => {
     proven.set(process.incarnation, 'listed-gone')
     onProven.emit(process, 'listed-gone')
   }
-  const cutOff = (id: string): void => members.forEach((_member, other) => { if (other !== id) network.partition(id, other) })
+  /** Partitions a member from all others. */
+  const isolate = (id: string): void => members.forEach((_member, other) => { if (other !== id) network.partition(id, other) })
   const rejoin = (id: string): void => members.forEach((_member, other) => { if (other !== id) network.heal(id, other) })
-  /** Reserves and notes the spending; what it resolves to can be settled. */
+  /** Reserves tokens and records the spending; resolves to what is needed to settle it. */
   const reserve = async (id: string, tokens: number): Promise<{ reservation: Reservation, spending: Spending, incarnation: string } | undefined> => {
     const member = members.get(id)!
     const result = await member.allowance.reserve(TEAM, tokens)
@@ -129,25 +130,44 @@
     spendings.push(spending)
     return { reservation: result.val, spending, incarnation: member.record.incarnation }
   }
-  /** As `reserve`, letting time go on until there is an answer. */
-  const reserved = async (id: string, tokens: number): Promise<boolean> => {
-    const answers: boolean[] = []
-    reserve(id, tokens).then(done => answers.push(done !== undefined))
-    for (let ms = 0; answers.length === 0 && ms < 5000; ms += 1) await clock.advance(1)
-    return answers[0] ?? false
+  /** As `reserve`, advancing the clock until there is a result; resolves to whether it was granted. */
+  const reserveAndWait = async (id: string, tokens: number): Promise<boolean> => {
+    const results: boolean[] = []
+    reserve(id, tokens).then(reserved => results.push(reserved !== undefined))
+    for (let ms = 0; results.length === 0 && ms < 5000; ms += 1) await clock.advance(1)
+    return results[0] ?? false
   }
   const unitsOf = (id: string): number => members.get(id)?.allowance.holdings()[0]?.units ?? 0
   const sumOfUnits = (): number => [...members.keys()].reduce((sum, id) => sum + unitsOf(id), 0)
   const sumOfLevels = (): number => [...members.values()].reduce((sum, member) => sum + (member.allowance.holdings()[0]?.level ?? 0), 0)
-  const holder = (): string => [...members.keys()].sort((left, right) => unitsOf(right) - unitsOf(left))[0]!
+  const memberWithMostUnits = (): string => [...members.keys()].sort((left, right) => unitsOf(right) - unitsOf(left))[0]!
   const others = (...ids: string[]): string[] => [...members.keys()].filter(id => !ids.includes(id))
 
-  return { clock, network, faults, counter, members, spendings, spawn, kill, prove, cutOff, rejoin, reserve, reserved, unitsOf, sumOfUnits, sumOfLevels, holder, others }
+  return {
+    clock,
+    network,
+    faults,
+    counter,
+    members,
+    spendings,
+    spawn,
+    kill,
+    proveTerminated,
+    isolate,
+    rejoin,
+    reserve,
+    reserveAndWait,
+    unitsOf,
+    sumOfUnits,
+    sumOfLevels,
+    memberWithMostUnits,
+    others
+  }
 }
 
 export type TestFleet = ReturnType<typeof createTestFleet>
 
-/** Most tokens by which the spendings exceed a naive central bucket that was full at the start. */
+/** Returns the largest number of tokens by which the spendings exceed a naive central bucket that was full at the start. */
 export function overspend (spendings: readonly Spending[], rate: number, burst: number): number {
   const inOrder = [...spendings].sort((left, right) => left.atMs - right.atMs)
   let level = burst
--- a/packages/magnoliabay/src/node/allowance/allowance.ts
+++ b/packages/magnoliabay/src/node/allowance/allowance.ts
@@ -1,6 +1,6 @@
 /**
- * Teams' allowances, counted over the fleet by shares that members hold and hand to each other.
- * `docs/design/allowance.md` tells why it is strict without a referee.
+ * Counts teams' allowances over the fleet. Members hold shares of each allowance and transfer them to each other.
+ * `docs/design/allowance.md` explains why the limit is strict without a central coordinator.
  */
 import type { Clock } from '../clock'
 import { repeat, sleep } from '../clock'
@@ -12,18 +12,18 @@
 import type { Store } from '../store'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { KEPT_BY_EACH_HOME, MS_PER_SECOND, MAINTENANCE_PERIOD_MS } from './constants'
+import { HOME_TARGET_UNITS, MS_PER_SECOND, MAINTENANCE_INTERVAL_MS } from './constants'
 import { createShareExchange } from './shareExchange'
 import { isIdle } from './transferPolicy'
-import { createHomes } from './homeMembers'
+import { createHomeMembers } from './homeMembers'
 import { holdingNotice } from './messages'
-import { createPairs } from './transferCounters'
+import { createTransferCounters } from './transferCounters'
 import { createReclaim } from './reclaim'
-import { createRemote } from './remoteReservations'
+import { createRemoteReservations } from './remoteReservations'
 import type { RemoteTicket } from './remoteReservations'
 import { createProcessRegistry } from './processRegistry'
 import type { Ticket } from './share'
-import { createShares } from './teamShares'
+import { createTeamShares } from './teamShares'
 import type { TeamShare, ActiveTeamConfig } from './teamShares'
 
 export interface Reservation {
@@ -32,32 +32,32 @@
   held: HeldTicket
 }
 
-/** Where a reservation is held: in the own share, or at a home. */
+/** Where a reservation is held: in this member's share, or at a home member. */
 export type HeldTicket =
   | { at: 'here', ticket: Ticket }
   | { at: 'home', ticket: RemoteTicket }
 
 export interface TeamHolding {
   team: string
-  /** Part of the team's allowance held here, 0 to {@link TOTAL_UNITS}. */
+  /** Share of the team's allowance held by this process, 0 to {@link TOTAL_UNITS}. */
   units: number
-  /** Tokens at hand. */
+  /** Tokens available now. */
   level: number
-  /** Tokens of reservations not settled yet. */
+  /** Tokens of reservations that are not settled yet. */
   outstanding: number
 }
 
 export interface Allowance {
-  /** Takes `tokens` from the team's allowance, or tells when they will be there. */
+  /** Takes `tokens` from the team's allowance, or returns when they will be available. */
   reserve (team: string, tokens: number): Promise<Result<Reservation, Failure>>
-  /** Ends a reservation: what it didn't use comes back; what it used beyond is owed. */
+  /** Ends a reservation: refunds unused tokens, and charges those used beyond it as a debt. */
   settle (reservation: Reservation, usedTokens: number): void
-  /** Members at which the team's tokens are held, best first. */
+  /** Members that hold the team's tokens, in order of preference. */
   homeMembers (team: string): readonly string[]
-  /** What this process holds of each team. */
+  /** Returns what this process holds of each team's allowance. */
   holdings (): readonly TeamHolding[]
   start (signal: AbortSignal): void
-  /** Gives all shares to members that stay. To be called when the last request has ended. */
+  /** Transfers all shares to members that are not leaving. Called when the last request has ended. */
   handOver (): Promise<void>
 }
 
@@ -67,13 +67,13 @@
   store: Store
   clock: Clock
   logger: Logger
-  /** Without proofs nothing is reclaimed. @default nobody is ever proven gone */
+  /** Without proofs nothing is reclaimed. @default no process is ever proven to have terminated */
   proofs?: TerminationProofs
 }
 
-const RETRY_AFTER_UNREACHABLE_S = 1
-const HAND_OVER_MS = 2000
-const HAND_OVER_POLL_MS = 50
+const UNAVAILABLE_RETRY_AFTER_S = 1
+const HAND_OVER_TIMEOUT_MS = 2000
+const HAND_OVER_POLL_INTERVAL_MS = 50
 
 const NO_PROOFS: TerminationProofs = { proofFor: () => undefined, onTerminated: () => () => {} }
 
@@ -81,23 +81,23 @@
   const { cfg, peers, store, clock, logger } = options
   const self = peers.self
   const monotonic = (): number => clock.monotonic()
-  const shares = createShares(cfg, clock)
-  const homes = createHomes(peers)
-  const pairs = createPairs({ process: self.incarnation, shares, monotonic })
-  const name = { member: self.id, incarnation: self.incarnation }
-  const registry = createProcessRegistry({ store, self: name, shares, clock, logger })
-  const exchange = createShareExchange({ peers, shares, pairs, homes, clock, logger, mayHold: registry.isRegistered })
-  const remote = createRemote({ peers, shares, homes, exchange, clock })
-  const reclaim = createReclaim({ store, peers, pairs, registry, proofs: options.proofs ?? NO_PROOFS, clock, logger })
+  const shares = createTeamShares(cfg, clock)
+  const homes = createHomeMembers(peers)
+  const counters = createTransferCounters({ process: self.incarnation, shares, monotonic })
+  const processId = { member: self.id, incarnation: self.incarnation }
+  const registry = createProcessRegistry({ store, self: processId, shares, clock, logger })
+  const exchange = createShareExchange({ peers, shares, counters, homes, clock, logger, mayHold: registry.isRegistered })
+  const remote = createRemoteReservations({ peers, shares, homes, exchange, clock })
+  const reclaim = createReclaim({ store, peers, counters, registry, proofs: options.proofs ?? NO_PROOFS, clock, logger })
 
-  const grantFirst = async (): Promise<void> => {
+  const ensureLedgers = async (): Promise<void> => {
     if (!registry.isRegistered()) return
-    const isMine = (team: string): boolean => homes.global(team)?.id === self.id
-    const unknown = shares.all().map(own => own.team).filter(team => !registry.hasLedger(team) && isMine(team))
-    if (unknown.length + registry.doubted().length > 0) await registry.grantFirst(unknown)
+    const isPrimaryHomeOf = (team: string): boolean => homes.primary(team)?.id === self.id
+    const teamsWithoutLedger = shares.all().map(own => own.team).filter(team => !registry.hasLedger(team) && isPrimaryHomeOf(team))
+    if (teamsWithoutLedger.length + registry.unconfirmedTeams().length > 0) await registry.ensureLedgers(teamsWithoutLedger)
   }
-  /** Tells the home what is held here, so that it knows whom to collect from, and what to take home. */
-  const tellHome = (own: TeamShare, home: MemberRecord | undefined): void => {
+  /** Notifies the home of the units held here, so that it knows which members to collect from and which idle shares to take over. */
+  const notifyHolding = (own: TeamShare, home: MemberRecord | undefined): void => {
     if (home === undefined || home.id === self.id || own.share.units() === 0) return
     peers.notify(home.id, holdingNotice, {
       team: own.team,
@@ -105,33 +105,33 @@
       isIdle: isIdle(own, self.leaving, monotonic())
     })
   }
-  const isThin = (own: TeamShare): boolean => !self.leaving && own.share.units() < KEPT_BY_EACH_HOME / 2
-  const isHomeOf = (team: string): boolean => homes.near(team).some(home => home.id === self.id)
-  const stayingHome = (team: string): MemberRecord | undefined =>
+  const isFarBelowTarget = (own: TeamShare): boolean => !self.leaving && own.share.units() < HOME_TARGET_UNITS / 2
+  const isHomeOf = (team: string): boolean => homes.inOwnRegion(team).some(home => home.id === self.id)
+  const handOverTarget = (team: string): MemberRecord | undefined =>
     homes.ranked(team).find(member => member.id !== self.id && !member.leaving && peers.isConnected(member.id))
-  const tend = async (): Promise<void> => {
+  const maintain = async (): Promise<void> => {
     if (!registry.isRegistered()) await registry.register()
-    await grantFirst()
-    await exchange.heal()
-    await Promise.all(shares.all().filter(own => isHomeOf(own.team) && isThin(own)).map(exchange.even))
-    shares.all().filter(own => !isHomeOf(own.team)).forEach(own => tellHome(own, homes.near(own.team)[0]))
-    await reclaim.tend()
+    await ensureLedgers()
+    await exchange.recoverLostTransfers()
+    await Promise.all(shares.all().filter(own => isHomeOf(own.team) && isFarBelowTarget(own)).map(exchange.evenOut))
+    shares.all().filter(own => !isHomeOf(own.team)).forEach(own => notifyHolding(own, homes.inOwnRegion(own.team)[0]))
+    await reclaim.maintain()
   }
-  const refuse = (tokens: number, waitMs: number): Failure => {
+  const createOverAllowanceFailure = (tokens: number, waitMs: number): Failure => {
     const waitSeconds = Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))
-    return createRefusal('over_allowance', `The team's allowance is spent. ${tokens} tokens will be there in ${waitSeconds} s.`, waitSeconds)
+    return createRefusal('over_allowance', `The team's allowance is spent. ${tokens} tokens will be available in ${waitSeconds} s.`, waitSeconds)
   }
-  const reserveHere = async (own: TeamShare, tokens: number): Promise<Result<Reservation, Failure>> => {
+  const reserveFromOwnShare = async (own: TeamShare, tokens: number): Promise<Result<Reservation, Failure>> => {
     const waitMs = await exchange.fetch(own, tokens)
-    const ticket = own.share.take(tokens, monotonic())
-    if (ticket === undefined) return Err(refuse(tokens, waitMs))
+    const ticket = own.share.tryTake(tokens, monotonic())
+    if (ticket === undefined) return Err(createOverAllowanceFailure(tokens, waitMs))
     return Ok({ team: own.team, tokens, held: { at: 'here', ticket } })
   }
   const reserveAtHome = async (team: string, tokens: number): Promise<Result<Reservation, Failure>> => {
-    const answer = await remote.reserve(team, tokens)
-    if (answer.kind === 'granted') return Ok({ team, tokens, held: { at: 'home', ticket: answer.ticket } })
-    if (answer.kind === 'refused') return Err(refuse(tokens, answer.waitMs))
-    return Err(createRefusal('over_allowance', 'The allowance cannot be checked here just now. Use another instance.', RETRY_AFTER_UNREACHABLE_S))
+    const result = await remote.reserve(team, tokens)
+    if (result.kind === 'granted') return Ok({ team, tokens, held: { at: 'home', ticket: result.ticket } })
+    if (result.kind === 'refused') return Err(createOverAllowanceFailure(tokens, result.waitMs))
+    return Err(createRefusal('over_allowance', 'The allowance cannot be checked at this instance at present. Use another instance.', UNAVAILABLE_RETRY_AFTER_S))
   }
 
   return {
@@ -144,30 +144,30 @@
     })),
     reserve: async (team, tokens) => {
       const own = shares.of(team)
-      if (own === undefined) return Err(createRefusal('over_allowance', `Team ${team} has no allowance here yet.`, RETRY_AFTER_UNREACHABLE_S))
+      if (own === undefined) return Err(createRefusal('over_allowance', `Team ${team} has no allowance at this instance yet.`, UNAVAILABLE_RETRY_AFTER_S))
       const { burst } = own.share.size()
       if (tokens > burst) return Err(createRefusal('over_allowance', `The request needs ${tokens} tokens, more than the team's burst of ${burst}.`))
-      own.demand.note(tokens, monotonic())
-      const ticket = own.share.take(tokens, monotonic())
+      own.demand.record(tokens, monotonic())
+      const ticket = own.share.tryTake(tokens, monotonic())
       if (ticket !== undefined) return Ok({ team, tokens, held: { at: 'here', ticket } })
-      return isHomeOf(team) ? await reserveHere(own, tokens) : await reserveAtHome(team, tokens)
+      return isHomeOf(team) ? await reserveFromOwnShare(own, tokens) : await reserveAtHome(team, tokens)
     },
     settle: ({ team, held }, usedTokens) => {
       if (held.at === 'home') return remote.settle(held.ticket, usedTokens)
       shares.of(team)?.share.settle(held.ticket, usedTokens, monotonic())
     },
     start: signal => {
-      cfg.onChanged(() => { if (!signal.aborted) grantFirst() })
-      repeat(clock, MAINTENANCE_PERIOD_MS, signal, tend)
+      cfg.onChanged(() => { if (!signal.aborted) ensureLedgers() })
+      repeat(clock, MAINTENANCE_INTERVAL_MS, signal, maintain)
     },
     handOver: async () => {
-      const endMs = monotonic() + HAND_OVER_MS
-      const held = (): readonly TeamShare[] => shares.all().filter(own => own.share.units() > 0)
-      while (held().length > 0 && monotonic() < endMs && held().some(own => stayingHome(own.team) !== undefined)) {
-        held().forEach(own => tellHome(own, stayingHome(own.team)))
-        await sleep(clock, HAND_OVER_POLL_MS)
+      const endMs = monotonic() + HAND_OVER_TIMEOUT_MS
+      const heldShares = (): readonly TeamShare[] => shares.all().filter(own => own.share.units() > 0)
+      while (heldShares().length > 0 && monotonic() < endMs && heldShares().some(own => handOverTarget(own.team) !== undefined)) {
+        heldShares().forEach(own => notifyHolding(own, handOverTarget(own.team)))
+        await sleep(clock, HAND_OVER_POLL_INTERVAL_MS)
       }
-      logger.info('shares-handed-over', { left: held().map(own => own.team) })
+      logger.info('shares-handed-over', { left: heldShares().map(own => own.team) })
     }
   }
 }
--- a/packages/magnoliabay/src/node/allowance/constants.ts
+++ b/packages/magnoliabay/src/node/allowance/constants.ts
@@ -1,28 +1,32 @@
-/** Sizes and periods of the allowances. */
+/** Sizes, intervals and timeouts of the allowances. */
 import { STORE_KEY_PREFIX } from '../constants'
 
-/** A team's whole allowance, in units. Shares are whole numbers of units, so that no rounding can make one. */
+/** A team's whole allowance, in units. Shares are whole numbers of units, so that rounding cannot create any. */
 export const TOTAL_UNITS = 2 ** 20
 
 /**
- * What each home of a region holds of a team that doesn't need it elsewhere. Callers come to one home, and its
- * share would hold nearly all: were it killed, the team would be refused everything until the death is proven.
+ * Units that each home of a region holds of a team that doesn't need them elsewhere. Requests arrive at one home, whose
+ * share would otherwise grow to nearly all units; if it were killed, the team would be refused everything until its
+ * termination is proven.
  */
-export const KEPT_BY_EACH_HOME = TOTAL_UNITS / 4
+export const HOME_TARGET_UNITS = TOTAL_UNITS / 4
 
 export const PROCESSES_PREFIX = `${STORE_KEY_PREFIX}/allowance/processes/`
 export const LEDGERS_PREFIX = `${STORE_KEY_PREFIX}/allowance/ledgers/`
 
-/** How often idle shares are offered, lost transfers healed and pending store work retried, in milliseconds. */
-export const MAINTENANCE_PERIOD_MS = 1000
-/** A share away from home without a request for this long goes home, in milliseconds. */
-export const IDLE_SHARE_MS = 2000
-/** For how long a team is refused on what the last collection brought, without asking again, in milliseconds. */
-export const KNOWN_TOTAL_MS = 100
-/** Members asked at once when tokens are collected. */
-export const MAX_COLLECTED_FROM = 16
+/** Interval at which idle shares are offered, lost transfers recovered and pending store operations retried, in milliseconds. */
+export const MAINTENANCE_INTERVAL_MS = 1000
+/** A share at a member that is not a home returns to a home after this long without a request, in milliseconds. */
+export const SHARE_IDLE_TIMEOUT_MS = 2000
+/** How long requests are refused by the total found in the last collection, without asking other members again, in milliseconds. */
+export const KNOWN_TOTAL_TTL_MS = 100
+/** Most members asked at once when tokens are collected. */
+export const MAX_COLLECTION_PEERS = 16
 export const ASK_TIMEOUT_MS = 500
-/** A home gives up on hearing what a request elsewhere used; all of it counts as used then. Longer than any request, in milliseconds. */
-export const REMOTE_RESERVATION_MS = 300_000
+/**
+ * A reservation for a request at another member that is not settled by then counts as fully used. Longer than any
+ * request, in milliseconds.
+ */
+export const REMOTE_RESERVATION_TTL_MS = 300_000
 
 export const MS_PER_SECOND = 1000
--- a/packages/magnoliabay/src/node/allowance/demand.ts
+++ b/packages/magnoliabay/src/node/allowance/demand.ts
@@ -1,25 +1,25 @@
-/** How many tokens a second a team asks for at this instance, averaged over the last seconds. */
+/** Measures how many tokens a second a team requests at this instance, averaged over the last seconds. */
 import { createDecayingRate } from '../decayingRate'
 
-const AVERAGED_OVER_MS = 5000
+const AVERAGING_TIME_MS = 5000
 
 export interface Demand {
-  note (tokens: number, nowMs: number): void
+  record (tokens: number, nowMs: number): void
   /** Tokens a second. */
   rate (nowMs: number): number
   /** Monotonic time of the last request. */
-  lastMs (): number
+  lastRequestMs (): number
 }
 
 export function createDemand (): Demand {
-  const asked = createDecayingRate(AVERAGED_OVER_MS)
-  let lastMs = -Infinity
+  const requestedTokens = createDecayingRate(AVERAGING_TIME_MS)
+  let lastRequestMs = -Infinity
   return {
-    note: (tokens, now) => {
-      asked.add(tokens, now)
-      lastMs = now
+    record: (tokens, now) => {
+      requestedTokens.add(tokens, now)
+      lastRequestMs = now
     },
-    rate: asked.read,
-    lastMs: () => lastMs
+    rate: requestedTokens.read,
+    lastRequestMs: () => lastRequestMs
   }
 }
--- a/packages/magnoliabay/src/node/allowance/ledger.ts
+++ b/packages/magnoliabay/src/node/allowance/ledger.ts
@@ -1,10 +1,9 @@
 /**
- * A team's ledger in the store: what each process holds but for transfers between living processes.
+ * A team's ledger in the store: what each process holds, without the transfers between live processes.
  *
- * `base` = granted from the store + received from processes since given up - given to them. Over all
- * entries it sums to {@link TOTAL_UNITS}. What a living process holds is its base plus what it received
- * from other living processes minus what it gave them; only the processes themselves know that, so a
- * transfer needs no write.
+ * `base` = units granted from the store + received from processes since terminated - given to them. Over all
+ * entries it sums to {@link TOTAL_UNITS}. A live process holds its base plus what it received from other live
+ * processes minus what it gave them. Only the processes themselves keep these counts, so a transfer needs no write.
  */
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
@@ -14,39 +13,39 @@
 export interface LedgerEntry {
   /** Incarnation. */
   process: string
-  /** May be below 0: a process can pass on what it received. */
+  /** May be negative, since a process can give away units that it received. */
   base: number
-  /** Units ever granted by a write of this ledger; only grows, so a grant can be read twice harmlessly. */
+  /** All units ever granted by writes of this ledger. It only grows, so that reading a grant twice is harmless. */
   granted: number
 }
 
 export interface Ledger {
   entries: readonly LedgerEntry[]
-  /** Processes whose share has been given to others. */
+  /** Terminated processes whose shares have been given to others. */
   settled: readonly string[]
 }
 
-/** Final counters between a live process and a dead one, with the live one's name. */
-export interface LiveReport extends PairReport {
+/** Final counters between a live process and a terminated one, with the incarnation of the live one. */
+export interface LiveProcessReport extends PairReport {
   process: string
 }
 
 export interface Settlement {
   ledger: Ledger
-  /** Units that the dead held, granted to the claimer. */
+  /** Units that the terminated processes held, now granted to the claimer. */
   reclaimed: number
-  /** False when nothing of the ledger concerns the dead. */
+  /** False when no entry of the ledger concerns the terminated processes. */
   isChanged: boolean
 }
 
-export interface DeadAccounts {
-  /** Incarnations proven gone. */
-  dead: readonly string[]
-  /** Every process registered when the round began, the dead included. */
+export interface TerminatedAccounts {
+  /** Incarnations proven to have terminated. */
+  terminated: readonly string[]
+  /** Every process registered when the round began, including the terminated ones. */
   registered: readonly string[]
-  /** Of every living process, final. */
-  reports: readonly LiveReport[]
-  /** Who gets what the dead held. */
+  /** Final counters of every live process. */
+  reports: readonly LiveProcessReport[]
+  /** Incarnation that receives the units of the terminated processes. */
   claimer: string
 }
 
@@ -58,7 +57,7 @@
   return `${LEDGERS_PREFIX}${team}`
 }
 
-/** The first ledger of a team: one process holds everything. */
+/** Creates a team's first ledger, in which one process holds all units. */
 export function createLedger (process: string): Ledger {
   return { entries: [{ process, base: TOTAL_UNITS, granted: TOTAL_UNITS }], settled: [] }
 }
@@ -66,9 +65,9 @@
 export function parseLedger (text: string): Result<Ledger, LedgerError> {
   try {
     const ledger = JSON.parse(text) as Ledger
-    const isWhole = ledger.entries.every(entry => Number.isSafeInteger(entry.base) && Number.isSafeInteger(entry.granted))
-    if (!isWhole || !Array.isArray(ledger.settled)) return Err({ kind: 'malformed', message: 'An entry of the ledger lacks a number.' })
-    return isBalanced(ledger) ? Ok(ledger) : Err({ kind: 'unbalanced', message: `The ledger sums to ${sumOf(ledger)} units.` })
+    const hasValidCounts = ledger.entries.every(entry => Number.isSafeInteger(entry.base) && Number.isSafeInteger(entry.granted))
+    if (!hasValidCounts || !Array.isArray(ledger.settled)) return Err({ kind: 'malformed', message: 'An entry of the ledger has a count that is not an integer, or the list of settled processes is missing.' })
+    return isBalanced(ledger) ? Ok(ledger) : Err({ kind: 'unbalanced', message: `The ledger sums to ${sumOfUnits(ledger)} units.` })
   } catch (err) {
     return Err({ kind: 'malformed', message: String(err) })
   }
@@ -79,41 +78,41 @@
 }
 
 /**
- * Gives what the dead held to the claimer. Of a transfer to or from a dead process that never arrived,
- * the units count as held by the dead.
+ * Grants the units of terminated processes to the claimer. Units of a transfer to or from a terminated process that
+ * never arrived count as held by the terminated process.
  */
-export function settleDead (ledger: Ledger, accounts: DeadAccounts): Result<Settlement, LedgerError> {
-  const { dead, reports, claimer } = accounts
-  const open = dead.filter(process => !ledger.settled.includes(process))
-  const openReports = reports.filter(report => open.includes(report.dead))
+export function settleTerminated (ledger: Ledger, accounts: TerminatedAccounts): Result<Settlement, LedgerError> {
+  const { terminated, reports, claimer } = accounts
+  const unsettled = terminated.filter(process => !ledger.settled.includes(process))
+  const unsettledReports = reports.filter(report => unsettled.includes(report.dead))
   const bases = new Map(ledger.entries.map(entry => [entry.process, entry.base]))
   const granted = new Map(ledger.entries.map(entry => [entry.process, entry.granted]))
   const add = (counts: Map<string, number>, process: string, units: number): void => {
     counts.set(process, (counts.get(process) ?? 0) + units)
   }
-  openReports.forEach(report => add(bases, report.process, report.received - report.given))
-  const heldByDead = open.reduce((sum, process) => sum + (bases.get(process) ?? 0), 0)
-  const owedByLiving = openReports.reduce((sum, report) => sum + report.given - report.received, 0)
-  const reclaimed = heldByDead + owedByLiving
-  if (reclaimed < 0) return Err({ kind: 'unbalanced', message: `The dead would have held ${reclaimed} units.` })
+  unsettledReports.forEach(report => add(bases, report.process, report.received - report.given))
+  const heldByTerminated = unsettled.reduce((sum, process) => sum + (bases.get(process) ?? 0), 0)
+  const owedByLive = unsettledReports.reduce((sum, report) => sum + report.given - report.received, 0)
+  const reclaimed = heldByTerminated + owedByLive
+  if (reclaimed < 0) return Err({ kind: 'unbalanced', message: `The terminated processes would have held ${reclaimed} units.` })
   add(bases, claimer, reclaimed)
   add(granted, claimer, reclaimed)
   const entries = [...bases]
-    .filter(([process]) => !open.includes(process))
+    .filter(([process]) => !unsettled.includes(process))
     .map(([process, base]) => ({ process, base, granted: granted.get(process) ?? 0 }))
     .filter(entry => entry.base !== 0 || entry.granted !== 0)
-  // A process struck off never comes back, so its name needs no keeping.
-  const settled = [...ledger.settled, ...open].filter(process => accounts.registered.includes(process))
+  // A process that is no longer registered never returns, so its incarnation is dropped from the list.
+  const settled = [...ledger.settled, ...unsettled].filter(process => accounts.registered.includes(process))
   const next = { entries, settled }
-  if (!isBalanced(next)) return Err({ kind: 'unbalanced', message: `The ledger would sum to ${sumOf(next)} units.` })
-  const isChanged = openReports.length > 0 || ledger.entries.some(entry => open.includes(entry.process))
+  if (!isBalanced(next)) return Err({ kind: 'unbalanced', message: `The ledger would sum to ${sumOfUnits(next)} units.` })
+  const isChanged = unsettledReports.length > 0 || ledger.entries.some(entry => unsettled.includes(entry.process))
   return Ok({ ledger: next, reclaimed, isChanged })
 }
 
-function sumOf (ledger: Ledger): number {
+function sumOfUnits (ledger: Ledger): number {
   return ledger.entries.reduce((sum, entry) => sum + entry.base, 0)
 }
 
 function isBalanced (ledger: Ledger): boolean {
-  return sumOf(ledger) === TOTAL_UNITS
+  return sumOfUnits(ledger) === TOTAL_UNITS
 }
--- a/packages/magnoliabay/src/node/allowance/messages.ts
+++ b/packages/magnoliabay/src/node/allowance/messages.ts
@@ -1,23 +1,24 @@
-/** What members say to each other about allowances. */
+/** Peer messages about allowances. */
 import { definePeerCall, definePeerNotice } from '../members'
 import type { PairReport, Transfer } from './transferCounters'
 
 /**
- * `collect`: as many of the tokens as are there.
- * `rebalance`: as `collect`, and a fair part of the units; between homes.
- * `even`: what the taker lacks of the part that each home keeps, if the giver has plenty; between homes.
+ * What the taker asks the giver for.
+ * `collect`: as many of the tokens as are available.
+ * `rebalance`: as `collect`, and units in proportion to demand; between homes.
+ * `even`: the units that the taker lacks to the target of each home, if the giver has tokens to spare; between homes.
  * `return`: the whole share, if it is idle.
- * `heal`: nothing new; only what a lost transfer left out.
+ * `heal`: nothing new; only the units of an earlier transfer that was lost.
  */
 export type AskMode = 'collect' | 'rebalance' | 'even' | 'return' | 'heal'
 
 export interface AskRequest {
-  /** Grows with every ask of a taker; one that comes doubled, or after a later one, is given nothing. */
+  /** Increases with every request of a taker. A duplicate, or one that arrives after a later one, is given nothing. */
   number: number
   team: string
   mode: AskMode
   tokens: number
-  /** Tokens a second that the taker is asked for. */
+  /** Tokens a second requested at the taker. */
   demand: number
   /** Units that the taker holds. */
   units: number
@@ -31,9 +32,9 @@
   tokensLeft: number
 }
 
-/** A reservation at a home for a request elsewhere. */
+/** Reserves tokens at a home for a request at another member. */
 export interface ReserveRequest {
-  /** Unique among those of the member that asks. */
+  /** Unique among the reservations of the asking process. */
   number: number
   team: string
   tokens: number
@@ -41,12 +42,12 @@
 
 export interface ReserveReply {
   isGranted: boolean
-  /** Until the tokens may be there, milliseconds; 0 when granted. */
+  /** Time until the tokens may be available, in milliseconds; 0 when granted. */
   waitMs: number
 }
 
 export interface SettleNotice {
-  /** Of the reservation. */
+  /** Number of the reservation. */
   number: number
   used: number
 }
@@ -54,17 +55,17 @@
 export interface HoldingNotice {
   team: string
   units: number
-  /** The share isn't used here: take it home. */
+  /** The share isn't used at the sender, and the home may take it over. */
   isIdle: boolean
 }
 
 export interface CloseRequest {
-  /** Incarnations of processes proven gone. */
+  /** Incarnations of processes proven to have terminated. */
   dead: readonly string[]
 }
 
 export interface CloseReply {
-  /** Incarnation of the process that reports. */
+  /** Incarnation of the reporting process. */
   process: string
   reports: readonly PairReport[]
 }
--- a/packages/magnoliabay/src/node/allowance/processRegistry.ts
+++ b/packages/magnoliabay/src/node/allowance/processRegistry.ts
@@ -1,8 +1,8 @@
 /**
- * The processes that may hold shares, and the first grant of each team.
+ * Registers the processes that may hold shares, and creates the first ledger of each team.
  *
- * A process registers before it holds anything, and is struck off only when all that it held has been
- * given to others. So whoever reclaims knows everybody that may have traded with the dead.
+ * A process registers before it holds any units, and is removed only when all units that it held have been given to
+ * others. So a member that reclaims knows every process that may have exchanged units with a terminated one.
  */
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
@@ -12,35 +12,35 @@
 import { LEDGERS_PREFIX, PROCESSES_PREFIX } from './constants'
 import { createLedger, grantedTo, ledgerKey, parseLedger } from './ledger'
 import type { Ledger } from './ledger'
-import type { Shares } from './teamShares'
+import type { TeamShares } from './teamShares'
 
 export interface ProcessRegistryOptions {
   store: Store
   self: ProcessId
-  shares: Shares
+  shares: TeamShares
   clock: Clock
   logger: Logger
 }
 
 export interface ProcessRegistry {
   isRegistered (): boolean
-  /** Store revision of the own entry. A write that raises the own share compares it. */
+  /** Store revision of this process's entry. A write that raises its share compares it. */
   revision (): number
-  /** Tries once to register; a lost answer is met by trying again. */
+  /** Tries once to register. After a lost response, the next call finds the entry. */
   register (): Promise<void>
-  /** Tries once to make sure that each of the teams has a ledger; the first grant of one that has none comes here. */
-  grantFirst (teams: readonly string[]): Promise<void>
+  /** Tries once to ensure that each of the teams has a ledger. Where it creates one, this process holds all units. */
+  ensureLedgers (teams: readonly string[]): Promise<void>
   hasLedger (team: string): boolean
-  /** The answer to a write of the ledger was lost: read it again, since it may grant something to this process. */
-  doubt (team: string): void
-  /** Teams in doubt. */
-  doubted (): readonly string[]
-  /** Takes what a ledger grants to this process and what it hasn't taken before. */
-  takeGrants (team: string, ledger: Ledger): void
+  /** Marks a ledger to be read again: the response to its write was lost, and it may grant units to this process. */
+  markUnconfirmed (team: string): void
+  /** Teams whose ledgers are to be read again. */
+  unconfirmedTeams (): readonly string[]
+  /** Adds to the share what a ledger grants to this process and has not been added before. */
+  applyGrants (team: string, ledger: Ledger): void
 }
 
-/** Ledgers in one transaction; the store takes 128 operations. */
-const CREATED_AT_ONCE = 60
+/** Most ledgers created in one transaction; the store accepts 128 operations, and each ledger takes two. */
+const MAX_LEDGERS_PER_TRANSACTION = 60
 
 export function processKey (process: string): string {
   return `${PROCESSES_PREFIX}${process}`
@@ -48,21 +48,21 @@
 
 export function createProcessRegistry (options: ProcessRegistryOptions): ProcessRegistry {
   const { store, self, shares, clock, logger } = options
-  const taken = new Map<string, number>()
+  const appliedUnits = new Map<string, number>()
   const teamsWithLedger = new Set<string>()
-  const inDoubt = new Set<string>()
+  const unconfirmed = new Set<string>()
   let revision = 0
 
-  const takeGrants = (team: string, ledger: Ledger, tokens: number): void => {
+  const applyGrants = (team: string, ledger: Ledger, tokens: number): void => {
     const own = shares.of(team)
     const granted = grantedTo(ledger, self.incarnation)
-    const fresh = granted - (taken.get(team) ?? 0)
-    if (own === undefined || fresh <= 0) return
-    taken.set(team, granted)
-    own.share.receive(fresh, tokens, clock.monotonic())
-    logger.info('share-granted', { team, units: fresh })
+    const newUnits = granted - (appliedUnits.get(team) ?? 0)
+    if (own === undefined || newUnits <= 0) return
+    appliedUnits.set(team, granted)
+    own.share.receive(newUnits, tokens, clock.monotonic())
+    logger.info('share-granted', { team, units: newUnits })
   }
-  const create = async (teams: readonly string[]): Promise<void> => {
+  const createLedgers = async (teams: readonly string[]): Promise<void> => {
     const ledger = createLedger(self.incarnation)
     const created = await store.transact({
       compares: [
@@ -74,24 +74,24 @@
     if (created.err || !created.val.succeeded) return
     teams.forEach(team => {
       teamsWithLedger.add(team)
-      // Nobody ever held anything of a team without a ledger, so its bucket may start full.
-      takeGrants(team, ledger, shares.of(team)?.share.size().burst ?? 0)
+      // No process has held units of a team without a ledger, so its bucket may start full.
+      applyGrants(team, ledger, shares.of(team)?.share.size().burst ?? 0)
     })
   }
-  const noteLedger = (entry: KeyValue): void => {
+  const recordLedger = (entry: KeyValue): void => {
     const team = entry.key.slice(LEDGERS_PREFIX.length)
     teamsWithLedger.add(team)
     const ledger = parseLedger(entry.value)
     if (ledger.err) return logger.error('ledger-refused', { team, reason: ledger.val.message })
-    inDoubt.delete(team)
-    takeGrants(team, ledger.val, 0)
+    unconfirmed.delete(team)
+    applyGrants(team, ledger.val, 0)
   }
   return {
-    takeGrants: (team, ledger) => takeGrants(team, ledger, 0),
+    applyGrants: (team, ledger) => applyGrants(team, ledger, 0),
     isRegistered: () => revision > 0,
     revision: () => revision,
-    doubt: team => { inDoubt.add(team) },
-    doubted: () => [...inDoubt],
+    markUnconfirmed: team => { unconfirmed.add(team) },
+    unconfirmedTeams: () => [...unconfirmed],
     hasLedger: team => teamsWithLedger.has(team),
     register: async () => {
       const found = await store.get(processKey(self.incarnation))
@@ -106,14 +106,14 @@
       })
       if (written.ok && written.val.succeeded) revision = written.val.revision
     },
-    grantFirst: async teams => {
+    ensureLedgers: async teams => {
       const found = await store.range(LEDGERS_PREFIX)
       if (found.err) return
-      found.val.entries.forEach(noteLedger)
+      found.val.entries.forEach(recordLedger)
       const missing = teams.filter(team => !teamsWithLedger.has(team))
-      const groups = Array.from({ length: Math.ceil(missing.length / CREATED_AT_ONCE) }, (_, index) =>
-        missing.slice(index * CREATED_AT_ONCE, (index + 1) * CREATED_AT_ONCE))
-      await Promise.all(groups.map(create))
+      const groups = Array.from({ length: Math.ceil(missing.length / MAX_LEDGERS_PER_TRANSACTION) }, (_, index) =>
+        missing.slice(index * MAX_LEDGERS_PER_TRANSACTION, (index + 1) * MAX_LEDGERS_PER_TRANSACTION))
+      await Promise.all(groups.map(createLedgers))
     }
   }
 }
--- a/packages/magnoliabay/src/node/allowance/remoteReservations.ts
+++ b/packages/magnoliabay/src/node/allowance/remoteReservations.ts
@@ -1,15 +1,15 @@
 /**
- * Reservations at a home for requests at other members: one round trip, after which the home's share is spent
- * as if the request were there. So the shares stay whole with the homes, however callers spread.
+ * Reservations at a home for requests at other members. Each takes one round trip and is charged to the home's share as
+ * if the request had arrived there. So the shares stay with the homes, however requests are spread over members.
  */
 import type { CancelTimer, Clock } from '../clock'
 import type { Peers } from '../members'
-import { ASK_TIMEOUT_MS, KNOWN_TOTAL_MS, REMOTE_RESERVATION_MS } from './constants'
+import { ASK_TIMEOUT_MS, KNOWN_TOTAL_TTL_MS, REMOTE_RESERVATION_TTL_MS } from './constants'
 import type { ShareExchange } from './shareExchange'
-import type { Homes } from './homeMembers'
+import type { HomeMembers } from './homeMembers'
 import { reserveCall, settleNotice } from './messages'
 import type { Ticket } from './share'
-import type { Shares, TeamShare } from './teamShares'
+import type { TeamShares, TeamShare } from './teamShares'
 import { stableHash } from '../utils'
 
 /** A reservation held by another member. */
@@ -18,21 +18,21 @@
   number: number
 }
 
-export type RemoteAnswer =
+export type RemoteReservationResult =
   | { kind: 'granted', ticket: RemoteTicket }
   | { kind: 'refused', waitMs: number }
   | { kind: 'unreachable' }
 
-export interface Remote {
-  /** Reserves at a home of the team, at the next one when the first can't be reached. */
-  reserve (team: string, tokens: number): Promise<RemoteAnswer>
+export interface RemoteReservations {
+  /** Reserves at a home of the team, or at the next one when a home can't be reached. */
+  reserve (team: string, tokens: number): Promise<RemoteReservationResult>
   settle (ticket: RemoteTicket, used: number): void
 }
 
-export interface RemoteOptions {
+export interface RemoteReservationsOptions {
   peers: Peers
-  shares: Shares
-  homes: Homes
+  shares: TeamShares
+  homes: HomeMembers
   exchange: ShareExchange
   clock: Clock
 }
@@ -43,27 +43,27 @@
   cancelExpiry: CancelTimer
 }
 
-interface RefusedUntil {
-  atMs: number
+interface RecentRefusal {
+  untilMs: number
   tokens: number
 }
 
-export function createRemote (options: RemoteOptions): Remote {
+export function createRemoteReservations (options: RemoteReservationsOptions): RemoteReservations {
   const { peers, shares, homes, exchange, clock } = options
   const held = new Map<string, HeldReservation>()
-  const refused = new Map<string, RefusedUntil>()
+  const refusals = new Map<string, RecentRefusal>()
   let nextNumber = 0
 
   const heldKey = (incarnation: string, number: number): string => `${incarnation} ${number}`
   /**
-   * A request whose instance died, or whose notice was lost, never settles. Its reservation would shut out
-   * refunds for good; after a time that no request lasts, it counts as used up.
+   * A request whose instance terminated, or whose notice was lost, never settles, and its open reservation would block
+   * refunds permanently. After a time longer than any request, it counts as fully used.
    */
-  const hold = (key: string, own: TeamShare, ticket: Ticket): void => {
-    const cancelExpiry = clock.schedule(REMOTE_RESERVATION_MS, () => end(key, ticket.tokens))
+  const holdReservation = (key: string, own: TeamShare, ticket: Ticket): void => {
+    const cancelExpiry = clock.schedule(REMOTE_RESERVATION_TTL_MS, () => endReservation(key, ticket.tokens))
     held.set(key, { own, ticket, cancelExpiry })
   }
-  const end = (key: string, used: number): void => {
+  const endReservation = (key: string, used: number): void => {
     const reservation = held.get(key)
     if (reservation === undefined) return
     held.delete(key)
@@ -74,38 +74,41 @@
     const own = shares.of(team)
     const key = heldKey(from.incarnation, number)
     if (own === undefined || held.has(key)) return { isGranted: false, waitMs: 0 }
-    own.demand.note(tokens, clock.monotonic())
+    own.demand.record(tokens, clock.monotonic())
     const waitMs = await exchange.fetch(own, tokens)
-    const ticket = own.share.take(tokens, clock.monotonic())
+    const ticket = own.share.tryTake(tokens, clock.monotonic())
     if (ticket === undefined) return { isGranted: false, waitMs: Math.max(1, waitMs) }
-    hold(key, own, ticket)
+    holdReservation(key, own, ticket)
     return { isGranted: true, waitMs: 0 }
   })
-  peers.listen(settleNotice, ({ number, used }, from) => end(heldKey(from.incarnation, number), used))
+  peers.listen(settleNotice, ({ number, used }, from) => endReservation(heldKey(from.incarnation, number), used))
 
-  /** The same home each time, so that a team's demand settles; others spread over the homes. */
-  const homesInTurn = (team: string): readonly string[] => {
-    const near = homes.near(team).filter(home => home.id !== peers.self.id).map(home => home.id)
+  /**
+   * Returns the reachable homes in an order that is constant for this member and team, so that the demand at each home is
+   * stable. Other members start at other homes.
+   */
+  const reachableHomes = (team: string): readonly string[] => {
+    const near = homes.inOwnRegion(team).filter(home => home.id !== peers.self.id).map(home => home.id)
     const first = near.length === 0 ? 0 : stableHash(`${team} ${peers.self.id}`) % near.length
     return [...near.slice(first), ...near.slice(0, first)].filter(peers.isConnected)
   }
-  /** A home that has just refused would refuse again; a flood need not ask it each time. */
-  const isRefused = (team: string, tokens: number): RefusedUntil | undefined => {
-    const last = refused.get(team)
-    return last !== undefined && clock.monotonic() < last.atMs && tokens >= last.tokens ? last : undefined
+  /** Finds a refusal that still applies, so that a home that has just refused is not asked for every request of a flood. */
+  const findRecentRefusal = (team: string, tokens: number): RecentRefusal | undefined => {
+    const last = refusals.get(team)
+    return last !== undefined && clock.monotonic() < last.untilMs && tokens >= last.tokens ? last : undefined
   }
   return {
     reserve: async (team, tokens) => {
-      const last = isRefused(team, tokens)
-      if (last !== undefined) return { kind: 'refused', waitMs: last.atMs - clock.monotonic() }
-      for (const member of homesInTurn(team)) {
+      const last = findRecentRefusal(team, tokens)
+      if (last !== undefined) return { kind: 'refused', waitMs: last.untilMs - clock.monotonic() }
+      for (const member of reachableHomes(team)) {
         nextNumber += 1
         const number = nextNumber
         const reply = await peers.call(member, reserveCall, { number, team, tokens }, { timeoutMs: ASK_TIMEOUT_MS })
         if (reply.err) continue
         if (reply.val.isGranted) return { kind: 'granted', ticket: { member, number } }
         const { waitMs } = reply.val
-        refused.set(team, { atMs: clock.monotonic() + Math.min(waitMs, KNOWN_TOTAL_MS), tokens })
+        refusals.set(team, { untilMs: clock.monotonic() + Math.min(waitMs, KNOWN_TOTAL_TTL_MS), tokens })
         return { kind: 'refused', waitMs }
       }
       return { kind: 'unreachable' }
--- a/packages/magnoliabay/src/node/allowance/share.ts
+++ b/packages/magnoliabay/src/node/allowance/share.ts
@@ -1,21 +1,20 @@
 /**
- * The part of one team's allowance that this process holds: units, and the tokens in the burst capacity
- * that the units stand for.
+ * The share of one team's allowance that this process holds: units, and the tokens in the corresponding part of the
+ * burst capacity.
  *
- * Over the fleet the units sum to at most {@link TOTAL_UNITS}, so rates sum to the team's rate and
- * capacities to its burst.
+ * Over the fleet the units sum to at most {@link TOTAL_UNITS}, so rates sum to at most the team's rate and capacities to
+ * at most its burst.
  *
- * Were the unused tokens of a reservation simply put back, a bucket that has filled up behind a long answer would
- * hand the same burst out twice. So for every moment since, what older reservations bring back stays within
- * the room that the share had at that moment. Then what is used by the requests let in within any time t
- * stays within rate * t + burst.
+ * If the unused tokens of a reservation were added back without a limit, a bucket that has refilled during a long
+ * response would grant the same burst twice. So refunds of older reservations stay within the headroom that the share
+ * had at every moment since. Then the tokens used by requests admitted within any time t stay within rate * t + burst.
  */
 import { MS_PER_SECOND, TOTAL_UNITS } from './constants'
 
 export interface AllowanceSize {
   /** Tokens a second, over the fleet. */
   rate: number
-  /** Most tokens at once, over the fleet. */
+  /** Largest number of tokens at once, over the fleet. */
   burst: number
 }
 
@@ -23,35 +22,35 @@
 export interface Ticket {
   tokens: number
   /**
-   * Least room of the share between this reservation and the next open one, less what older reservations
-   * (this one included) have brought back since.
+   * Smallest headroom of the share between this reservation and the next open one, less what older reservations
+   * (including this one) have refunded since.
    */
-  room: number
+  headroom: number
 }
 
 export interface Share {
   units (): number
-  /** Tokens there now; less than 0 after an answer that used more than was reserved. */
+  /** Tokens available now; negative after a response that used more than was reserved. */
   level (nowMs: number): number
-  /** Tokens of reservations not settled yet. */
+  /** Tokens of reservations that are not settled yet. */
   outstanding (): number
-  /** Takes `tokens` if they are there. */
-  take (tokens: number, nowMs: number): Ticket | undefined
-  /** Ends a reservation: unused tokens come back as far as there is room, what was used beyond is owed. */
+  /** Takes `tokens` if they are available. */
+  tryTake (tokens: number, nowMs: number): Ticket | undefined
+  /** Ends a reservation: refunds unused tokens within the headroom, and charges those used beyond it as a debt. */
   settle (ticket: Ticket, used: number, nowMs: number): void
   /** Lowers the share. `tokens` must fit into the capacity of `units`. */
   give (units: number, tokens: number, nowMs: number): void
   /** Raises the share. */
   receive (units: number, tokens: number, nowMs: number): void
-  /** Changes rate and burst; units are kept, tokens cut to the new capacity. */
+  /** Changes rate and burst. Units are kept, tokens are limited to the new capacity. */
   resize (size: AllowanceSize, nowMs: number): void
   size (): AllowanceSize
 }
 
-/** Rounding of sums of tokens that is overlooked; what is taken too much stays behind as a debt. */
-const ROUNDING_TOKENS = 1e-6
+/** Rounding error tolerated in sums of tokens; an excess that is taken remains as a debt. */
+const ROUNDING_TOLERANCE_TOKENS = 1e-6
 
-/** Fewest units whose capacity holds `tokens`. */
+/** Returns the smallest number of units whose capacity holds `tokens`. */
 export function unitsFor (tokens: number, burst: number): number {
   return Math.ceil(tokens * TOTAL_UNITS / burst)
 }
@@ -60,73 +59,73 @@
   let size = initial
   let units = 0
   let level = 0
-  let filledAtMs = nowMs
-  /** Reservations not settled yet, oldest first. */
+  let refilledAtMs = nowMs
+  /** Reservations that are not settled yet, oldest first. */
   const open: Ticket[] = []
 
   const capacity = (): number => size.burst * units / TOTAL_UNITS
-  const cut = (): void => {
+  const clampToCapacity = (): void => {
     level = Math.min(level, capacity())
     const newest = open.at(-1)
-    if (newest !== undefined) newest.room = Math.min(newest.room, capacity() - level)
+    if (newest !== undefined) newest.headroom = Math.min(newest.headroom, capacity() - level)
   }
-  const fill = (now: number): void => {
-    const elapsedMs = Math.max(0, now - filledAtMs)
-    filledAtMs = Math.max(filledAtMs, now)
+  const refill = (now: number): void => {
+    const elapsedMs = Math.max(0, now - refilledAtMs)
+    refilledAtMs = Math.max(refilledAtMs, now)
     level += size.rate * units / TOTAL_UNITS * elapsedMs / MS_PER_SECOND
-    cut()
+    clampToCapacity()
   }
-  /** Ends a reservation and brings back `unused` as far as there was room all the time since. */
-  const close = (ticket: Ticket, unused: number): void => {
+  /** Ends a reservation and refunds `unused` within the smallest headroom since it was made. */
+  const closeTicket = (ticket: Ticket, unused: number): void => {
     const index = open.indexOf(ticket)
     if (index < 0) return
     const since = open.slice(index)
-    const room = Math.min(...since.map(other => other.room))
-    const refund = Math.min(unused, Math.max(0, room))
+    const headroom = Math.min(...since.map(other => other.headroom))
+    const refund = Math.min(unused, Math.max(0, headroom))
     level += refund
-    since.forEach(other => { other.room -= Math.max(0, refund) })
+    since.forEach(other => { other.headroom -= Math.max(0, refund) })
     open.splice(index, 1)
     const older = open[index - 1]
-    if (older !== undefined) older.room = Math.min(older.room, ticket.room)
-    cut()
+    if (older !== undefined) older.headroom = Math.min(older.headroom, ticket.headroom)
+    clampToCapacity()
   }
   return {
     units: () => units,
     outstanding: () => open.reduce((sum, ticket) => sum + ticket.tokens, 0),
     size: () => size,
     level: now => {
-      fill(now)
+      refill(now)
       return level
     },
-    take: (tokens, now) => {
-      fill(now)
-      if (tokens > level + ROUNDING_TOKENS) return undefined
+    tryTake: (tokens, now) => {
+      refill(now)
+      if (tokens > level + ROUNDING_TOLERANCE_TOKENS) return undefined
       level -= tokens
-      const ticket = { tokens, room: Infinity }
+      const ticket = { tokens, headroom: Infinity }
       open.push(ticket)
-      cut()
+      clampToCapacity()
       return ticket
     },
     settle: (ticket, used, now) => {
-      fill(now)
-      close(ticket, ticket.tokens - used)
+      refill(now)
+      closeTicket(ticket, ticket.tokens - used)
     },
     give: (givenUnits, tokens, now) => {
-      fill(now)
+      refill(now)
       units -= givenUnits
       level -= tokens
-      cut()
+      clampToCapacity()
     },
     receive: (receivedUnits, tokens, now) => {
-      fill(now)
+      refill(now)
       units += receivedUnits
       level += tokens
-      cut()
+      clampToCapacity()
     },
     resize: (next, now) => {
-      fill(now)
+      refill(now)
       size = next
-      cut()
+      clampToCapacity()
     }
   }
 }
--- a/packages/magnoliabay/src/node/allowance/transferCounters.ts
+++ b/packages/magnoliabay/src/node/allowance/transferCounters.ts
@@ -1,11 +1,11 @@
 /**
- * What this process has given to and received from every other process, team by team.
+ * Counts the units that this process has given to and received from every other process, by team.
  *
- * Counters only grow, and a transfer carries the giver's counter rather than an amount. The taker takes
- * the difference to what it has already, so a doubled or late transfer brings nothing, and the units
- * of a lost one come with the next. Tokens count only with the newest transfer: those of a lost one are lost.
+ * Counters only grow, and a transfer carries the giver's counter rather than an amount. The taker adds the difference to
+ * what it has received already, so a duplicate or late transfer adds nothing, and the units of a lost one arrive with
+ * the next. Tokens count only with the newest transfer; those of a lost one are lost.
  */
-import type { Shares } from './teamShares'
+import type { TeamShares } from './teamShares'
 
 /** `given` is the giver's counter for this taker and team. */
 export interface Transfer {
@@ -18,46 +18,46 @@
   tokens: number
 }
 
-/** Final counters between a live process and a dead one. */
+/** Final counters between a live process and a terminated one. */
 export interface PairReport {
   team: string
-  /** Incarnation of the dead process. */
+  /** Incarnation of the terminated process. */
   dead: string
   given: number
   received: number
 }
 
-export interface Pairs {
-  /** Lowers the own share first, then tells the transfer to be sent. Gives nothing to a closed process. */
+export interface TransferCounters {
+  /** Lowers the share, then returns the transfer to be sent. Gives nothing to a closed process. */
   give (team: string, to: string, units: number, tokens: number): Transfer
-  /** Raises the own share by what is new in the transfer; returns the units gained. */
+  /** Raises the share by what is new in the transfer, and returns the units gained. */
   accept (transfer: Transfer): number
   /**
-   * Ends all transfers with dead processes, for good, and reports the counters. Repeated, it reports
-   * the same: whatever of theirs is still on its way is refused from now on.
+   * Ends all transfers with terminated processes permanently, and reports the counters. Repeated, it reports the same,
+   * since transfers of theirs that arrive later are refused.
    */
-  close (dead: readonly string[]): readonly PairReport[]
+  close (terminated: readonly string[]): readonly PairReport[]
 }
 
-interface Pair {
+interface CounterPair {
   given: number
   received: number
 }
 
-export interface PairsOptions {
+export interface TransferCountersOptions {
   /** Incarnation of this process. */
   process: string
-  shares: Shares
+  shares: TeamShares
   monotonic: () => number
 }
 
-export function createPairs (options: PairsOptions): Pairs {
+export function createTransferCounters (options: TransferCountersOptions): TransferCounters {
   const { process, shares, monotonic } = options
-  const pairs = new Map<string, Map<string, Pair>>()
+  const pairs = new Map<string, Map<string, CounterPair>>()
   const closed = new Set<string>()
 
-  const pairOf = (other: string, team: string): Pair => {
-    const teams = pairs.get(other) ?? new Map<string, Pair>()
+  const pairOf = (other: string, team: string): CounterPair => {
+    const teams = pairs.get(other) ?? new Map<string, CounterPair>()
     pairs.set(other, teams)
     const pair = teams.get(team) ?? { given: 0, received: 0 }
     teams.set(team, pair)
@@ -84,9 +84,9 @@
       own.share.receive(gained, transfer.tokens, monotonic())
       return gained
     },
-    close: dead => {
-      dead.forEach(other => closed.add(other))
-      return dead.flatMap(other => [...(pairs.get(other) ?? [])]
+    close: terminated => {
+      terminated.forEach(other => closed.add(other))
+      return terminated.flatMap(other => [...(pairs.get(other) ?? [])]
         .filter(([, pair]) => pair.given > 0 || pair.received > 0)
         .map(([team, pair]) => ({ team, dead: other, given: pair.given, received: pair.received })))
     }
--- a/packages/magnoliabay/src/node/allowance/transferPolicy.ts
+++ b/packages/magnoliabay/src/node/allowance/transferPolicy.ts
@@ -1,74 +1,74 @@
-/** How much of a share is given to a member that asks. */
-import { IDLE_SHARE_MS, KEPT_BY_EACH_HOME, TOTAL_UNITS } from './constants'
+/** Decides how much of a share is given to a member that asks for it. */
+import { SHARE_IDLE_TIMEOUT_MS, HOME_TARGET_UNITS, TOTAL_UNITS } from './constants'
 import type { AskMode, AskRequest } from './messages'
 import { unitsFor } from './share'
 import type { TeamShare } from './teamShares'
 
-export interface Gift {
+export interface TransferAmount {
   units: number
-  /** In the capacity of the units. */
+  /** At most the capacity of the units. */
   tokens: number
 }
 
-export const NO_GIFT: Gift = { units: 0, tokens: 0 }
+export const NO_TRANSFER: TransferAmount = { units: 0, tokens: 0 }
 
-type GiftPolicy = (own: TeamShare, ask: AskRequest, nowMs: number) => Gift
+type TransferPolicy = (own: TeamShare, ask: AskRequest, nowMs: number) => TransferAmount
 
-const GIFT_POLICIES: Readonly<Record<AskMode, GiftPolicy>> = {
-  collect: (own, ask, now) => withLeastUnits(own, tokensFor(own, ask, now)),
-  rebalance: (own, ask, now) => withFairPart(own, ask, tokensFor(own, ask, now), now),
-  even: (own, ask, now) => evenPart(own, ask, now),
+const TRANSFER_POLICIES: Readonly<Record<AskMode, TransferPolicy>> = {
+  collect: (own, ask, now) => minimalTransfer(own, availableTokens(own, ask, now)),
+  rebalance: (own, ask, now) => proportionalTransfer(own, ask, availableTokens(own, ask, now), now),
+  even: (own, ask, now) => evenTransfer(own, ask, now),
   return: (own, _ask, now) => ({ units: own.share.units(), tokens: Math.max(0, own.share.level(now)) }),
-  heal: () => NO_GIFT
+  heal: () => NO_TRANSFER
 }
 
-/** Whether a share isn't used here any more. Open reservations keep it, since their refunds need its capacity. */
+/** Whether a share is no longer used at this member. Open reservations keep it in use, since their refunds need its capacity. */
 export function isIdle (own: TeamShare, isLeaving: boolean, nowMs: number): boolean {
   if (isLeaving) return true
-  return own.share.outstanding() === 0 && nowMs - own.demand.lastMs() >= IDLE_SHARE_MS
+  return own.share.outstanding() === 0 && nowMs - own.demand.lastRequestMs() >= SHARE_IDLE_TIMEOUT_MS
 }
 
-/** A share in debt keeps its units: they are what pays the debt back. */
-export function giftFor (own: TeamShare, ask: AskRequest, nowMs: number): Gift {
-  if (own.share.level(nowMs) < 0) return NO_GIFT
-  return GIFT_POLICIES[ask.mode](own, ask, nowMs)
+/** Nothing is given of a share in debt, since the refill of its units pays the debt back. */
+export function transferAmountFor (own: TeamShare, ask: AskRequest, nowMs: number): TransferAmount {
+  if (own.share.level(nowMs) < 0) return NO_TRANSFER
+  return TRANSFER_POLICIES[ask.mode](own, ask, nowMs)
 }
 
-function tokensFor (own: TeamShare, ask: AskRequest, now: number): number {
+function availableTokens (own: TeamShare, ask: AskRequest, now: number): number {
   return Math.max(0, Math.min(own.share.level(now), ask.tokens))
 }
 
-function withLeastUnits (own: TeamShare, tokens: number): Gift {
+function minimalTransfer (own: TeamShare, tokens: number): TransferAmount {
   return { units: Math.min(own.share.units(), unitsFor(tokens, own.share.size().burst)), tokens }
 }
 
-/** A team that uses more than half of its tokens here needs them here. */
-const PLENTY = 0.5
+/** A home that has less than this part of its capacity gives no units: the team uses them there. */
+const MIN_GIVER_LEVEL_RATIO = 0.5
 
-function evenPart (own: TeamShare, ask: AskRequest, now: number): Gift {
+function evenTransfer (own: TeamShare, ask: AskRequest, now: number): TransferAmount {
   const held = own.share.units()
   const level = own.share.level(now)
   const capacity = own.share.size().burst * held / TOTAL_UNITS
-  const units = Math.floor(Math.min(KEPT_BY_EACH_HOME - ask.units, held - KEPT_BY_EACH_HOME))
-  if (units <= 0 || level < capacity * PLENTY) return NO_GIFT
+  const units = Math.floor(Math.min(HOME_TARGET_UNITS - ask.units, held - HOME_TARGET_UNITS))
+  if (units <= 0 || level < capacity * MIN_GIVER_LEVEL_RATIO) return NO_TRANSFER
   return { units, tokens: level * units / held }
 }
 
-/** Most of a share that goes into one transfer beyond what was asked for: as much may be lost with it. */
-const MOST_OF_SHARE = 0.5
+/** Largest part of a share given in one transfer beyond the request, since its tokens are lost if the transfer is. */
+const MAX_TRANSFERRED_SHARE_RATIO = 0.5
 
 /**
- * Divides what giver and taker hold as their demands stand to each other, so that a taker with steady
- * traffic soon refills by itself and needs no further round trips.
+ * Divides the units of giver and taker in proportion to their demands, so that a taker with steady traffic refills by
+ * itself and needs no further round trips.
  */
-function withFairPart (own: TeamShare, ask: AskRequest, tokens: number, now: number): Gift {
-  const least = withLeastUnits(own, tokens)
+function proportionalTransfer (own: TeamShare, ask: AskRequest, tokens: number, now: number): TransferAmount {
+  const minimum = minimalTransfer(own, tokens)
   const held = own.share.units()
-  const demands = own.demand.rate(now) + ask.demand
-  if (demands <= 0 || held === 0) return least
-  const fair = Math.floor((held + ask.units) * ask.demand / demands) - ask.units
-  const units = Math.max(least.units, Math.min(fair, Math.floor(held * MOST_OF_SHARE)))
-  const proportional = own.share.level(now) * units / held
-  const fits = own.share.size().burst * units / TOTAL_UNITS
-  return { units, tokens: Math.min(fits, Math.max(tokens, proportional)) }
+  const totalDemand = own.demand.rate(now) + ask.demand
+  if (totalDemand <= 0 || held === 0) return minimum
+  const proportionalUnits = Math.floor((held + ask.units) * ask.demand / totalDemand) - ask.units
+  const units = Math.max(minimum.units, Math.min(proportionalUnits, Math.floor(held * MAX_TRANSFERRED_SHARE_RATIO)))
+  const proportionalTokens = own.share.level(now) * units / held
+  const capacity = own.share.size().burst * units / TOTAL_UNITS
+  return { units, tokens: Math.min(capacity, Math.max(tokens, proportionalTokens)) }
 }
