--- a/packages/magnoliabay/src/node/serving/allowance/__tests__/support/simulation.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/__tests__/support/simulation.ts
@@ -1,4 +1,4 @@
-/** A fleet of four instances and a store in virtual time, and random days on which a team's allowance is spent. */
+/** Simulates four instances and a store in virtual time, with random faults while a team's allowance is spent. */
 import { createDirectStore, createKvFaults, createKvState } from '@magnoliabay/standins'
 import type { FaultSwitches, KvFaults } from '@magnoliabay/standins'
 import fc from 'fast-check'
@@ -19,71 +19,71 @@
 export const WINDOW_MS = 8000
 export const IDS = ['m1', 'm2', 'm3', 'm4']
 export const TOLERANCE = { ratio: 0.1, slack: 110 }
-/** Copies of the store are made this often, milliseconds, and so many are kept. */
-const COPY_PERIOD_MS = 250
-const MAX_COPIES = 40
+/** Interval between snapshots of the store, in milliseconds. */
+const SNAPSHOT_INTERVAL_MS = 250
+const MAX_SNAPSHOTS = 40
 /** 100 a second over 8 s, and a burst of 100. */
 export const LIMIT = 900
 
-export interface World {
+export interface Simulation {
   clock: VirtualClock
   network: MemoryNetwork
-  /** For the store as every living process sees it. */
+  /** Sets faults of the store for every live process. */
   setStore (faults: Partial<KvFaults>): void
   members: Map<string, AllowanceLimiter>
   team: { current: Team }
-  /** Instances that know no configuration. */
-  unknowing: Set<string>
+  /** Instances that have no configuration. */
+  withoutConfig: Set<string>
   home: string
   others: string[]
-  /** For one living process alone: the store turns it away. */
+  /** Sets faults of the store for one live process alone. */
   setStoreOf (id: string, changes: Partial<KvFaults>): void
-  /** The member's process is gone: it asks, tells and writes nothing any more. */
+  /** Ends the member's process: it asks, reports and writes nothing any more. */
   kill (id: string): void
-  /** A process of the member starts anew. */
+  /** Starts a new process of the member. */
   join (id: string, changes: Partial<MemberRecord>): void
-  /** The store goes on from what it was so long ago, milliseconds. */
-  setBack (ageMs: number): void
-  /** Everybody tells everybody what it has spent, as the rows of the fleet do. */
-  tell (ids?: readonly string[]): void
-  /** Asks for `amount` at each of the members in turn until none grants any more; returns what was granted. */
+  /** Restores the store to a snapshot that is `ageMs` old. */
+  rollBackStore (ageMs: number): void
+  /** Sends every live member the spending of every other, as fleet reports do. */
+  exchangeReports (ids?: readonly string[]): void
+  /** Asks for `amount` at each of the members in turn until none grants any more; returns the sum granted. */
   drain (ids: readonly string[], amount: number): Promise<number>
 }
 
-export function createWorld (isFirstStart = true, logger = createSilentLogger()): World {
+export function createSimulation (isFirstStart = true, logger = createSilentLogger()): Simulation {
   const clock = createVirtualClock()
   const network = createMemoryNetwork({ clock })
   const team = { current: teamOf('depot') }
   const state = createKvState({ clock })
-  const copies = [state.snapshot()]
-  const keepCopies = (): void => {
-    copies.unshift(state.snapshot())
-    copies.splice(MAX_COPIES)
-    clock.schedule(COPY_PERIOD_MS, keepCopies)
+  const snapshots = [state.snapshot()]
+  const takeSnapshots = (): void => {
+    snapshots.unshift(state.snapshot())
+    snapshots.splice(MAX_SNAPSHOTS)
+    clock.schedule(SNAPSHOT_INTERVAL_MS, takeSnapshots)
   }
-  keepCopies()
-  let shared: Partial<KvFaults> = {}
-  /** Of each member's living process; one that was killed reaches the store no more. */
+  takeSnapshots()
+  let sharedFaults: Partial<KvFaults> = {}
+  /** Store faults of each member's live process; a killed one no longer reaches the store. */
   const faults = new Map<string, FaultSwitches<KvFaults>>()
   const storeOf = (id: string): ReturnType<typeof createDirectStore> => {
     faults.get(id)?.set({ down: 'refused' })
     const own = createKvFaults()
-    own.set(shared)
+    own.set(sharedFaults)
     faults.set(id, own)
     return createDirectStore(state, { clock, faults: own })
   }
-  const isAtStore = (id: string): boolean => members.has(id) && faults.get(id)?.current.down === 'no'
+  const hasStoreAccess = (id: string): boolean => members.has(id) && faults.get(id)?.current.down === 'no'
   const join = (id: string, isFirst: boolean, changes: Partial<MemberRecord> = {}): AllowanceLimiter => {
     const peers = network.join(memberRecord(id, { startedAtMs: clock.now() - clock.monotonic(), ...changes }))
     const store = createPeerFallbackStore({
       peers,
       store: storeOf(id),
       isStoreUnreachable: () => faults.get(id)?.current.down !== 'no',
-      peersWithStoreAccess: () => IDS.filter(other => other !== id && isAtStore(other) && peers.isConnected(other)).slice(0, 1)
+      peersWithStoreAccess: () => IDS.filter(other => other !== id && hasStoreAccess(other) && peers.isConnected(other)).slice(0, 1)
     })
-    return createAllowanceLimiter({ peers, findTeam: () => unknowing.has(id) ? undefined : team.current, windowMs: WINDOW_MS, isFirstStart: isFirst, store, era: state.era, tolerance: TOLERANCE, clock, logger })
+    return createAllowanceLimiter({ peers, findTeam: () => withoutConfig.has(id) ? undefined : team.current, windowMs: WINDOW_MS, isFirstStart: isFirst, store, era: state.era, tolerance: TOLERANCE, clock, logger })
   }
-  const unknowing = new Set<string>()
+  const withoutConfig = new Set<string>()
   const incarnations = new Map(IDS.map(id => [id, `${id}-1`]))
   const members = new Map<string, AllowanceLimiter>()
   IDS.forEach(id => members.set(id, join(id, isFirstStart)))
@@ -97,12 +97,12 @@
     clock,
     network,
     setStore: changes => {
-      shared = { ...shared, ...changes }
+      sharedFaults = { ...sharedFaults, ...changes }
       faults.forEach(each => each.set(changes))
     },
     members,
     team,
-    unknowing,
+    withoutConfig,
     home,
     setStoreOf: (id, changes) => { faults.get(id)?.set(changes) },
     kill: id => {
@@ -115,14 +115,14 @@
       members.set(id, join(id, false, changes))
     },
     others: IDS.filter(id => id !== home),
-    setBack: ageMs => {
-      state.restore(copies[Math.min(copies.length - 1, Math.floor(ageMs / COPY_PERIOD_MS))]!)
-      copies.splice(0, copies.length, state.snapshot())
+    rollBackStore: ageMs => {
+      state.restore(snapshots[Math.min(snapshots.length - 1, Math.floor(ageMs / SNAPSHOT_INTERVAL_MS))]!)
+      snapshots.splice(0, snapshots.length, state.snapshot())
     },
-    tell: (ids = IDS) => {
-      const living = ids.filter(id => members.has(id))
-      living.forEach(from => living.filter(to => to !== from).forEach(to =>
-        members.get(to)!.notePeerSpending(incarnations.get(from)!, members.get(from)!.ownSpending())))
+    exchangeReports: (ids = IDS) => {
+      const live = ids.filter(id => members.has(id))
+      live.forEach(from => live.filter(to => to !== from).forEach(to =>
+        members.get(to)!.recordPeerSpending(incarnations.get(from)!, members.get(from)!.ownSpending())))
     },
     drain: async (ids, amount) => {
       const startMs = clock.monotonic()
@@ -138,81 +138,81 @@
   }
 }
 
-/** Kills every process and starts it anew after a while. */
-export async function restartAll (world: World, downMs: number, turn = 1): Promise<void> {
-  IDS.forEach(world.kill)
-  await world.clock.advance(downMs)
-  IDS.forEach(id => world.join(id, { incarnation: `${id}-${turn + 1}` }))
-  await world.clock.advance(10)
+/** Kills every process and restarts it after `downMs`. */
+export async function restartAll (simulation: Simulation, downMs: number, turn = 1): Promise<void> {
+  IDS.forEach(simulation.kill)
+  await simulation.clock.advance(downMs)
+  IDS.forEach(id => simulation.join(id, { incarnation: `${id}-${turn + 1}` }))
+  await simulation.clock.advance(10)
 }
 
-export interface DayEvent {
+export interface FaultEvent {
   afterMs: number
-  what: 'restart-all' | 'restart-one' | 'cut-one' | 'slow-store' | 'lost-answers' | 'clock-step' | 'store-set-back'
-  who: number
-  forMs: number
+  kind: 'restart-all' | 'restart-one' | 'cut-one' | 'slow-store' | 'lost-answers' | 'clock-step' | 'store-set-back'
+  instance: number
+  durationMs: number
 }
 
-const KINDS = ['restart-all', 'restart-one', 'cut-one', 'slow-store', 'lost-answers', 'clock-step'] as const
+const FAULT_KINDS = ['restart-all', 'restart-one', 'cut-one', 'slow-store', 'lost-answers', 'clock-step'] as const
 
-const dayEventOf = (...kinds: ReadonlyArray<DayEvent['what']>): fc.Arbitrary<DayEvent> => fc.record({
+const faultEventOf = (...kinds: ReadonlyArray<FaultEvent['kind']>): fc.Arbitrary<FaultEvent> => fc.record({
   afterMs: fc.integer({ min: 100, max: 3000 }),
-  what: fc.constantFrom(...kinds),
-  who: fc.nat(3),
-  forMs: fc.integer({ min: 200, max: 2500 })
+  kind: fc.constantFrom(...kinds),
+  instance: fc.nat(3),
+  durationMs: fc.integer({ min: 200, max: 2500 })
 })
 
-export const dayEvent = dayEventOf(...KINDS)
-/** On days on which the store goes back to older copies of itself. */
-export const setBackDayEvent = dayEventOf(...KINDS, 'store-set-back', 'store-set-back')
+export const faultEvent = faultEventOf(...FAULT_KINDS)
+/** Faults that include restores of the store from older snapshots. */
+export const faultOrRollbackEvent = faultEventOf(...FAULT_KINDS, 'store-set-back', 'store-set-back')
 
-/** Plays the events while every instance asks for `amount` ten times a second; returns the most that was granted in a window. */
-export async function playDay (events: readonly DayEvent[], amount: number, logger?: Logger): Promise<number> {
-  const world = createWorld(true, logger)
-  /** A request counts in a window that holds both its sending and its start. */
+/** Runs the fault events while every instance asks for `amount` ten times a second; returns the largest sum granted in a window. */
+export async function maxGrantedInWindow (events: readonly FaultEvent[], amount: number, logger?: Logger): Promise<number> {
+  const simulation = createSimulation(true, logger)
+  /** A request counts in a window that contains both its sending and its grant. */
   const granted: Array<{ sentMs: number, grantedMs: number }> = []
   let turns = 0
   const ask = async (ms: number): Promise<void> => {
-    const endMs = world.clock.monotonic() + ms
-    while (world.clock.monotonic() < endMs) {
-      const asked = IDS.map(id => world.members.get(id)).filter(member => member !== undefined)
-      const sentMs = world.clock.monotonic()
+    const endMs = simulation.clock.monotonic() + ms
+    while (simulation.clock.monotonic() < endMs) {
+      const asked = IDS.map(id => simulation.members.get(id)).filter(member => member !== undefined)
+      const sentMs = simulation.clock.monotonic()
       const takes = asked.map(async member => {
-        const { waitMs } = await member.take(world.team.current, amount)
-        // A process that was killed meanwhile sends nothing.
-        if (waitMs === 0 && [...world.members.values()].includes(member)) granted.push({ sentMs, grantedMs: world.clock.monotonic() })
+        const { waitMs } = await member.take(simulation.team.current, amount)
+        // A process that was killed in the meantime sends no request to a server.
+        if (waitMs === 0 && [...simulation.members.values()].includes(member)) granted.push({ sentMs, grantedMs: simulation.clock.monotonic() })
       })
-      await world.clock.advance(100)
+      await simulation.clock.advance(100)
       turns += 1
-      if (turns % 3 === 0) world.tell()
+      if (turns % 3 === 0) simulation.exchangeReports()
       Promise.all(takes)
     }
   }
   const others = (id: string): string[] => IDS.filter(each => each !== id)
-  const begin: Record<DayEvent['what'], (id: string, forMs: number, turn: number) => Promise<void> | void> = {
-    'restart-all': (_id, forMs, turn) => restartAll(world, forMs, turn + 10),
-    'restart-one': (id, forMs, turn) => {
-      world.kill(id)
-      world.clock.schedule(forMs, () => world.join(id, { incarnation: `${id}-${turn + 100}` }))
+  const startFault: Record<FaultEvent['kind'], (id: string, durationMs: number, turn: number) => Promise<void> | void> = {
+    'restart-all': (_id, durationMs, turn) => restartAll(simulation, durationMs, turn + 10),
+    'restart-one': (id, durationMs, turn) => {
+      simulation.kill(id)
+      simulation.clock.schedule(durationMs, () => simulation.join(id, { incarnation: `${id}-${turn + 100}` }))
     },
-    'cut-one': (id, forMs) => {
-      others(id).forEach(other => world.network.partition(id, other))
-      world.clock.schedule(forMs, () => others(id).forEach(other => world.network.heal(id, other)))
+    'cut-one': (id, durationMs) => {
+      others(id).forEach(other => simulation.network.partition(id, other))
+      simulation.clock.schedule(durationMs, () => others(id).forEach(other => simulation.network.heal(id, other)))
     },
-    'slow-store': (_id, forMs) => {
-      world.setStore({ slowMs: 300 })
-      world.clock.schedule(forMs, () => world.setStore({ slowMs: 0 }))
+    'slow-store': (_id, durationMs) => {
+      simulation.setStore({ slowMs: 300 })
+      simulation.clock.schedule(durationMs, () => simulation.setStore({ slowMs: 0 }))
     },
-    'lost-answers': (_id, forMs) => {
-      world.setStore({ loseAnswers: true })
-      world.clock.schedule(forMs, () => world.setStore({ loseAnswers: false }))
+    'lost-answers': (_id, durationMs) => {
+      simulation.setStore({ loseAnswers: true })
+      simulation.clock.schedule(durationMs, () => simulation.setStore({ loseAnswers: false }))
     },
-    'store-set-back': (_id, forMs) => world.setBack(forMs * 2),
-    'clock-step': (_id, forMs) => world.clock.stepWallClock(forMs % 2 === 0 ? forMs : -forMs)
+    'store-set-back': (_id, durationMs) => simulation.rollBackStore(durationMs * 2),
+    'clock-step': (_id, durationMs) => simulation.clock.stepWallClock(durationMs % 2 === 0 ? durationMs : -durationMs)
   }
   await ask(1000)
-  for (const [turn, { afterMs, what, who, forMs }] of events.entries()) {
-    await begin[what](IDS[who]!, forMs, turn)
+  for (const [turn, { afterMs, kind, instance, durationMs }] of events.entries()) {
+    await startFault[kind](IDS[instance]!, durationMs, turn)
     await ask(afterMs)
   }
   await ask(3000)
--- a/packages/magnoliabay/src/node/serving/allowance/allowanceLimiter.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/allowanceLimiter.ts
@@ -1,7 +1,8 @@
 /**
- * Teams' allowances over the fleet. One instance, a team's home, counts for all. An instance that cannot reach the
- * home spends an equal part of what is left, and the home counts on that part being spent. What was spent lasts in the
- * store (`homeLedger.ts`); everybody also tells what it has spent, which shows a home what it has not seen.
+ * Limits teams to their allowances over the fleet. One instance, a team's home, counts for all. An instance that cannot
+ * reach the home spends an equal share of what is left, and the home sets that share aside as spent. The spending is
+ * recorded in the store (`homeLedger.ts`). Every instance also reports its own spending, so that a home learns of
+ * spending that it has not counted.
  */
 import type { Clock } from '../../clock'
 import type { Logger } from '../../logger'
@@ -17,40 +18,40 @@
 import { createSlidingWindowCounter } from './slidingWindowCounter'
 import type { SlidingWindowCounter } from './slidingWindowCounter'
 
-/** A home answers within a round trip; longer than this, the request would be late for its objective. */
+/** A home replies within a round trip; a request that waits longer would miss its objective. */
 const ASK_TIMEOUT_MS = 150
-/** A home that did not answer is not asked again for this long: each request would wait for it anew. */
-const AVOID_HOME_MS = 1000
-/** A process that knows no other member by then is the only one. */
-const ALONE_AFTER_MS = 2000
-const ALONE_RETRY_MS = 300
-/** A home that was out of reach is asked again by then. */
-const SHARE_RETRY_MS = 1000
-/** Part of the tolerance that a home uses while the store takes no records; the rest is for instances cut off from it. */
-const UNRECORDED_PART = 0.5
+/** A home that did not reply is not asked again for this long, since each request would wait for the timeout again. */
+const HOME_RETRY_DELAY_MS = 1000
+/** A process that knows no other member by then takes itself for the only one. */
+const MEMBER_DISCOVERY_TIMEOUT_MS = 2000
+const MEMBER_DISCOVERY_RETRY_DELAY_MS = 300
+/** By then a home that was unreachable is asked again. */
+const SHARE_RETRY_DELAY_MS = 1000
+/** Part of the tolerance that a home uses while the store accepts no records; the rest is for instances that cannot reach it. */
+const UNRECORDED_TOLERANCE_RATIO = 0.5
 
 export interface TakeRequest {
   team: string
   amount: number
-  /** What the asking instance has spent of its own part since a home answered it last. */
+  /** Units that the asking instance has spent of its own share since a home last replied to it. */
   apart: number
 }
 
 export interface TakeReply {
-  /** 0 when granted, else milliseconds until it may be there; undefined where the home knows no such team. */
+  /** 0 when granted, else the time in milliseconds until the amount may be available; undefined if the home does not know the team. */
   waitMs: number | undefined
 }
 
 const takeCall = definePeerCall<TakeRequest, TakeReply>('allowance.take')
-const giveBackNotice = definePeerNotice<Pick<TakeRequest, 'team' | 'amount'>>('allowance.give-back')
+const refundNotice = definePeerNotice<Pick<TakeRequest, 'team' | 'amount'>>('allowance.give-back')
 
-/** Who decided: the `home`, or the `share` of this instance alone. */
+/** The outcome for a request, decided by the `home` or from the `share` of this instance alone. */
 export interface AllowanceDecision {
   waitMs: number
   decidedBy: 'home' | 'share'
 }
 
-/** What an instance has spent of a team's allowance within the window. */
+/** Units of a team's allowance spent within the window. */
 export interface TeamSpending {
   team: string
   units: number
@@ -58,114 +59,114 @@
 
 export interface AllowanceLimiter {
   take (team: Team, amount: number): Promise<AllowanceDecision>
-  /** Gives back what was taken for a request that no server ran. */
+  /** Refunds the units taken for a request that no server ran. */
   refund (team: Team, amount: number): void
-  /** What this instance has spent, for the others to know. */
+  /** Returns what this instance has spent, to be reported to other members. */
   ownSpending (): readonly TeamSpending[]
-  /** A process told what it has spent. What it told stands for a window after its end. */
-  notePeerSpending (incarnation: string, amounts: readonly TeamSpending[]): void
-  /** What this instance and those who told it have spent. */
+  /** Records the spending reported by a process. Its last report counts for one window after its end. */
+  recordPeerSpending (incarnation: string, amounts: readonly TeamSpending[]): void
+  /** Returns what this instance and the members that report to it have spent. */
   subtreeSpending (): readonly TeamSpending[]
-  /** What all have spent, as far as they told this instance. */
+  /** Returns what all members have spent, as far as reported to this instance. */
   fleetSpending (): readonly TeamSpending[]
-  /** One who hears everybody told what all have spent. */
-  noteFleetSpending (amounts: readonly TeamSpending[]): void
+  /** Records the spending of all members, as sent by an instance that receives all reports. */
+  recordFleetSpending (amounts: readonly TeamSpending[]): void
 }
 
-/** What a team may get beyond its limit, since instances count apart. */
+/** What a team may be granted beyond its limit, since instances that cannot reach each other count separately. */
 export interface AllowanceTolerance {
-  /** Part of the limit. */
+  /** Fraction of the limit. */
   ratio: number
-  /** Beside that, in the unit of the allowance. */
+  /** Added to that, in units of the allowance. */
   slack: number
 }
 
 export interface AllowanceLimiterOptions {
   peers: Peers
-  /** The team as configured now. */
+  /** Returns the team as configured now. */
   findTeam: (name: string) => Team | undefined
-  /** Length of the window in which rate and burst are counted, milliseconds. */
+  /** Length of the window in which rate and burst are counted, in milliseconds. */
   windowMs: number
-  /** Nothing was spent before this process: the whole system starts for the first time. */
+  /** Whether the whole system starts for the first time, so that nothing was spent before this process. */
   isFirstStart: boolean
   store: Pick<Store, 'get' | 'transact'>
-  /** Of the store: it rises whenever the store goes on from an older copy of itself. */
+  /** Returns the store's era, which rises whenever the store is restored from an older copy. */
   era: () => number
   tolerance: AllowanceTolerance
   clock: Clock
   logger: Logger
 }
 
-interface Told {
-  spent: ReadonlyMap<string, number>
-  atMs: number
+interface ReportedSpending {
+  unitsByTeam: ReadonlyMap<string, number>
+  reportedAtMs: number
 }
 
 const MS_PER_SECOND = 1000
 
 export function createAllowanceLimiter (options: AllowanceLimiterOptions): AllowanceLimiter {
-  const { peers, findTeam: teamNamed, windowMs, clock, logger } = options
-  /** As home, for all instances. */
+  const { peers, findTeam, windowMs, clock, logger } = options
+  /** Ledgers of the teams whose home is this instance, by team. */
   const ledgers = new Map<string, HomeLedger>()
-  /** By this instance. */
-  const own = new Map<string, SlidingWindowCounter>()
-  /** By incarnation: a process that starts anew has forgotten what the one before it spent. */
-  const told = new Map<string, Told>()
-  let toldOfAll: Told | undefined
-  /** By this instance of its own part, by team: no home has counted it yet. */
-  const apart = new Map<string, number>()
+  /** Spending of this instance, by team. */
+  const ownCounters = new Map<string, SlidingWindowCounter>()
+  /** By incarnation, since a restarted process does not know what the one before it spent. */
+  const reports = new Map<string, ReportedSpending>()
+  let fleetReport: ReportedSpending | undefined
+  /** Spending of this instance from its own share that no home has counted yet, by team. */
+  const uncountedUnits = new Map<string, number>()
   const startedMs = clock.monotonic()
-  const avoidedUntilMs = new Map<string, number>()
+  const homeRetryAtMs = new Map<string, number>()
 
   const limitOf = (team: Team): number => team.rate * windowMs / MS_PER_SECOND + team.burst
   const toleranceOf = (team: Team): number => limitOf(team) * options.tolerance.ratio + options.tolerance.slack
-  /** Has not heard what was spent in the window, and others may have spent it. */
-  const isYoung = (): boolean => !options.isFirstStart && clock.monotonic() - startedMs < windowMs
-  /** Whether the other members are known. Alone, each would take itself for the home of every team. */
-  const isSettled = (): boolean => options.isFirstStart || peers.members().length > 1 || clock.monotonic() - startedMs > ALONE_AFTER_MS
-  const ownOf = (team: string): SlidingWindowCounter => {
-    const found = own.get(team) ?? createSlidingWindowCounter(windowMs)
-    own.set(team, found)
+  /** Whether this process has run for less than a window, and so may not know all spending in it. */
+  const lacksHistory = (): boolean => !options.isFirstStart && clock.monotonic() - startedMs < windowMs
+  /** Whether the other members are known. An instance that knows only itself would take itself for the home of every team. */
+  const areMembersKnown = (): boolean => options.isFirstStart || peers.members().length > 1 || clock.monotonic() - startedMs > MEMBER_DISCOVERY_TIMEOUT_MS
+  const ownCounterOf = (team: string): SlidingWindowCounter => {
+    const found = ownCounters.get(team) ?? createSlidingWindowCounter(windowMs)
+    ownCounters.set(team, found)
     return found
   }
-  const isStanding = (each: Told): boolean => clock.monotonic() - each.atMs < windowMs
-  /** What a process told as it ended leaves the window bit by bit: it counts for less the older it is. */
-  const toldBy = (team: string): number[] => [...told.values()].filter(isStanding)
-    .map(each => (each.spent.get(team) ?? 0) * (1 - (clock.monotonic() - each.atMs) / windowMs))
-  const spentWithTold = (team: string): number => toldBy(team).reduce((sum, units) => sum + units, ownOf(team).spent(clock.monotonic()))
-  /** Each process tells this instance, or one tells it of all: both are the same sum, and one of the two may be older. */
-  const spentOverall = (team: string): number => {
-    const ofAll = toldOfAll !== undefined && isStanding(toldOfAll) ? toldOfAll.spent.get(team) ?? 0 : 0
-    return Math.max(spentWithTold(team), ofAll)
+  const isCurrent = (each: ReportedSpending): boolean => clock.monotonic() - each.reportedAtMs < windowMs
+  /** Returns the reported spending, weighted down by age: the spending of a process that has ended leaves the window gradually. */
+  const weightedReportsOf = (team: string): number[] => [...reports.values()].filter(isCurrent)
+    .map(each => (each.unitsByTeam.get(team) ?? 0) * (1 - (clock.monotonic() - each.reportedAtMs) / windowMs))
+  const subtreeSpent = (team: string): number => weightedReportsOf(team).reduce((sum, units) => sum + units, ownCounterOf(team).spent(clock.monotonic()))
+  /** Each process reports to this instance, or one reports for all. Both are the same sum, and either may be older. */
+  const fleetSpent = (team: string): number => {
+    const reported = fleetReport !== undefined && isCurrent(fleetReport) ? fleetReport.unitsByTeam.get(team) ?? 0 : 0
+    return Math.max(subtreeSpent(team), reported)
   }
-  const sumsBy = (sumOf: (team: string) => number): TeamSpending[] => {
-    const teams = new Set([...own.keys(), ...[...told.values()].flatMap(each => [...each.spent.keys()])])
+  const spendingByTeam = (sumOf: (team: string) => number): TeamSpending[] => {
+    const teams = new Set([...ownCounters.keys(), ...[...reports.values()].flatMap(each => [...each.unitsByTeam.keys()])])
     return [...teams].map(team => ({ team, units: Math.round(sumOf(team)) })).filter(({ units }) => units > 0)
   }
-  const toTold = (spent: readonly TeamSpending[]): Told => ({ spent: new Map(spent.map(({ team, units }) => [team, units])), atMs: clock.monotonic() })
-  /** The whole allowance, but for the equal parts of those who cannot ask. */
+  const toReport = (spent: readonly TeamSpending[]): ReportedSpending => ({ unitsByTeam: new Map(spent.map(({ team, units }) => [team, units])), reportedAtMs: clock.monotonic() })
+  /** Returns the whole allowance without the equal shares of the instances that cannot reach this one. */
   const ledgerLimit = (team: Team): LedgerLimit => {
     const members = peers.members()
-    const cutOff = members.filter(member => !peers.isConnected(member.id)).length
-    const heldBack = limitOf(team) * cutOff / Math.max(1, members.length)
-    return { allowed: limitOf(team) - heldBack, heldBack, tolerance: toleranceOf(team) * UNRECORDED_PART }
+    const unreachable = members.filter(member => !peers.isConnected(member.id)).length
+    const unreachableShares = limitOf(team) * unreachable / Math.max(1, members.length)
+    return { allowed: limitOf(team) - unreachableShares, unreachableShares, tolerance: toleranceOf(team) * UNRECORDED_TOLERANCE_RATIO }
   }
   const createLedger = (team: Team): HomeLedger => createHomeLedger({
     team: team.name,
     home: peers.self.incarnation,
     windowMs,
     store: options.store,
-    limit: () => ledgerLimit(teamNamed(team.name) ?? team),
-    isYoung,
-    toldSpent: () => spentOverall(team.name),
+    limit: () => ledgerLimit(findTeam(team.name) ?? team),
+    lacksHistory,
+    reportedSpent: () => fleetSpent(team.name),
     era: options.era,
     clock,
     logger
   })
-  const takeHere = (team: Team, amount: number, spentApart: number): Promise<number> => {
+  const takeAsHome = (team: Team, amount: number, spentApart: number): Promise<number> => {
     const ledger = ledgers.get(team.name) ?? createLedger(team)
     ledgers.set(team.name, ledger)
-    ledger.noteApart(spentApart)
+    ledger.recordShareSpending(spentApart)
     return ledger.take(amount)
   }
   const dropLedger = (team: string): void => {
@@ -173,84 +174,84 @@
     ledgers.delete(team)
   }
   peers.serve(takeCall, async ({ team: name, amount, apart: spentApart }) => {
-    const team = teamNamed(name)
-    // One that has just started knows no team: whatever it let through would come on top of what the team has spent.
+    const team = findTeam(name)
+    // A home that has just started knows no team: whatever it granted would be in addition to what the team has spent.
     if (team === undefined) return { waitMs: undefined }
-    return { waitMs: team.rate === 0 ? 0 : await takeHere(team, amount, spentApart) }
+    return { waitMs: team.rate === 0 ? 0 : await takeAsHome(team, amount, spentApart) }
   })
-  peers.listen(giveBackNotice, ({ team: name, amount }) => ledgers.get(name)?.giveBack(amount))
-  const noteOwn = (team: Team, amount: number, waitMs: number): AllowanceDecision => {
-    if (waitMs === 0) ownOf(team.name).note(amount, clock.monotonic())
+  peers.listen(refundNotice, ({ team: name, amount }) => ledgers.get(name)?.refund(amount))
+  const recordHomeDecision = (team: Team, amount: number, waitMs: number): AllowanceDecision => {
+    if (waitMs === 0) ownCounterOf(team.name).record(amount, clock.monotonic())
     return { waitMs, decidedBy: 'home' }
   }
-  const takeShare = (team: Team, amount: number): AllowanceDecision => {
-    const parts = Math.max(1, peers.members().length)
-    const ownSpent = ownOf(team.name).spent(clock.monotonic())
-    // What the home itself had spent before the cut is in nobody's part: all that was told comes off first.
-    const leftPart = Math.max(0, limitOf(team) - spentOverall(team.name)) / parts
-    const knownPart = Math.min(limitOf(team) / parts, ownSpent + leftPart)
-    // What was spent before a young process started is not known: its part is one of the tolerance.
-    const limit = isYoung() ? toleranceOf(team) * (1 - UNRECORDED_PART) / parts : knownPart
-    // What is larger than any allowance passes an empty window, but what is larger than a part alone does not: each of
-    // the instances that start anew in a cut would let one through.
-    if (amount > limit && amount <= limitOf(team)) return { waitMs: SHARE_RETRY_MS, decidedBy: 'share' }
-    const waitMs = ownOf(team.name).take(amount, limit, clock.monotonic())
-    if (waitMs === 0) addCount(apart, team.name, amount)
+  const takeFromShare = (team: Team, amount: number): AllowanceDecision => {
+    const memberCount = Math.max(1, peers.members().length)
+    const ownSpent = ownCounterOf(team.name).spent(clock.monotonic())
+    // What the home itself spent before the partition is in no share, so all reported spending is subtracted first.
+    const remainingShare = Math.max(0, limitOf(team) - fleetSpent(team.name)) / memberCount
+    const knownShare = Math.min(limitOf(team) / memberCount, ownSpent + remainingShare)
+    // A process that lacks history does not know what was spent before, so it spends only its share of the tolerance.
+    const limit = lacksHistory() ? toleranceOf(team) * (1 - UNRECORDED_TOLERANCE_RATIO) / memberCount : knownShare
+    // An amount above the team's limit passes an empty window. One that is above the share alone does not, since each
+    // instance that restarts during a partition would grant one.
+    if (amount > limit && amount <= limitOf(team)) return { waitMs: SHARE_RETRY_DELAY_MS, decidedBy: 'share' }
+    const waitMs = ownCounterOf(team.name).take(amount, limit, clock.monotonic())
+    if (waitMs === 0) addCount(uncountedUnits, team.name, amount)
     return { waitMs, decidedBy: 'share' }
   }
-  /** Each question takes along what no other under way does. */
-  const takeApart = (team: string): number => {
-    const units = apart.get(team) ?? 0
-    apart.delete(team)
+  /** Removes and returns the uncounted units, so that each of several calls in flight carries different ones. */
+  const takeUncounted = (team: string): number => {
+    const units = uncountedUnits.get(team) ?? 0
+    uncountedUnits.delete(team)
     return units
   }
   /**
-   * What was spent apart goes with what is asked next: a home that learned only what each has spent in all could not
-   * tell it from what it had granted itself, or had taken over from the home before, and granted it once more.
+   * Sends the uncounted units with the next call. From the reported totals alone, a home could not distinguish them from
+   * what it had granted itself or had taken over from the previous home, and would grant them once more.
    */
   const askHome = async (home: string, team: string, amount: number): Promise<Result<TakeReply, PeerError>> => {
-    const spentApart = takeApart(team)
-    const reply = await peers.call(home, takeCall, { team, amount, apart: spentApart }, { timeoutMs: ASK_TIMEOUT_MS })
-    if (reply.err || reply.val.waitMs === undefined) addCount(apart, team, spentApart)
+    const uncounted = takeUncounted(team)
+    const reply = await peers.call(home, takeCall, { team, amount, apart: uncounted }, { timeoutMs: ASK_TIMEOUT_MS })
+    if (reply.err || reply.val.waitMs === undefined) addCount(uncountedUnits, team, uncounted)
     return reply
   }
-  peers.onConnected(member => [...apart.keys()]
+  peers.onConnected(member => [...uncountedUnits.keys()]
     .filter(team => homeInstanceOf(peers, team) === member.id)
     .forEach(team => askHome(member.id, team, 0)))
 
   return {
     take: async (team, amount) => {
       if (team.rate === 0) return { waitMs: 0, decidedBy: 'share' }
-      if (!isSettled()) return { waitMs: ALONE_RETRY_MS, decidedBy: 'share' }
+      if (!areMembersKnown()) return { waitMs: MEMBER_DISCOVERY_RETRY_DELAY_MS, decidedBy: 'share' }
       const home = homeInstanceOf(peers, team.name)
-      if (home === peers.self.id) return noteOwn(team, amount, await takeHere(team, amount, takeApart(team.name)))
-      // What was counted here is out of date as soon as another counts.
+      if (home === peers.self.id) return recordHomeDecision(team, amount, await takeAsHome(team, amount, takeUncounted(team.name)))
+      // The ledger kept here is out of date as soon as another instance counts.
       dropLedger(team.name)
-      if (!peers.isConnected(home) || (avoidedUntilMs.get(home) ?? 0) > clock.monotonic()) return takeShare(team, amount)
+      if (!peers.isConnected(home) || (homeRetryAtMs.get(home) ?? 0) > clock.monotonic()) return takeFromShare(team, amount)
       const reply = await askHome(home, team.name, amount)
-      if (reply.ok && reply.val.waitMs !== undefined) return noteOwn(team, amount, reply.val.waitMs)
-      avoidedUntilMs.set(home, clock.monotonic() + AVOID_HOME_MS)
-      logger.warn('allowance-home-unreached', { team: team.name, home, reason: reply.ok ? 'knows no such team' : reply.val.kind })
-      return takeShare(team, amount)
+      if (reply.ok && reply.val.waitMs !== undefined) return recordHomeDecision(team, amount, reply.val.waitMs)
+      homeRetryAtMs.set(home, clock.monotonic() + HOME_RETRY_DELAY_MS)
+      logger.warn('allowance-home-unreached', { team: team.name, home, reason: reply.ok ? 'the home does not know the team' : reply.val.kind })
+      return takeFromShare(team, amount)
     },
     refund: (team, amount) => {
       if (team.rate === 0) return
-      ownOf(team.name).giveBack(amount, clock.monotonic())
-      // What no home has counted yet is not to be given back there.
-      if ((apart.get(team.name) ?? 0) >= amount) return addCount(apart, team.name, -amount)
+      ownCounterOf(team.name).refund(amount, clock.monotonic())
+      // Units that no home has counted yet must not be refunded there.
+      if ((uncountedUnits.get(team.name) ?? 0) >= amount) return addCount(uncountedUnits, team.name, -amount)
       const home = homeInstanceOf(peers, team.name)
-      if (home === peers.self.id) ledgers.get(team.name)?.giveBack(amount)
-      else peers.notify(home, giveBackNotice, { team: team.name, amount })
+      if (home === peers.self.id) ledgers.get(team.name)?.refund(amount)
+      else peers.notify(home, refundNotice, { team: team.name, amount })
     },
-    ownSpending: () => [...own]
+    ownSpending: () => [...ownCounters]
       .map(([team, spending]) => ({ team, units: Math.round(spending.spent(clock.monotonic())) }))
       .filter(({ units }) => units > 0),
-    notePeerSpending: (incarnation, spent) => {
-      told.forEach((each, key) => { if (clock.monotonic() - each.atMs > windowMs) told.delete(key) })
-      told.set(incarnation, toTold(spent))
+    recordPeerSpending: (incarnation, spent) => {
+      reports.forEach((each, key) => { if (clock.monotonic() - each.reportedAtMs > windowMs) reports.delete(key) })
+      reports.set(incarnation, toReport(spent))
     },
-    subtreeSpending: () => sumsBy(spentWithTold),
-    fleetSpending: () => sumsBy(spentOverall),
-    noteFleetSpending: spent => { toldOfAll = toTold(spent) }
+    subtreeSpending: () => spendingByTeam(subtreeSpent),
+    fleetSpending: () => spendingByTeam(fleetSpent),
+    recordFleetSpending: spent => { fleetReport = toReport(spent) }
   }
 }
--- a/packages/magnoliabay/src/node/serving/allowance/slidingWindowCounter.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/slidingWindowCounter.ts
@@ -1,22 +1,25 @@
 /**
- * What was spent within a sliding window, and whether more may be. A team's allowance is its rate over the window and
- * its burst: a bucket of the same rate and burst would refuse a team that comes in clumps though it stays within that.
+ * Counts spending within a sliding window against a limit. A team's allowance is its rate over the window plus its burst.
+ * A token bucket of the same rate and burst would refuse a team whose requests arrive in clusters though within that.
  */
 
 export interface SlidingWindowCounter {
-  /** Spends `amount` if that keeps the window within `limit`; else returns milliseconds until it might, 0 when spent. */
+  /**
+   * Spends `amount` if that keeps the window within `limit`. Returns 0 when spent, else the time in milliseconds until it
+   * might be.
+   */
   take (amount: number, limit: number, nowMs: number): number
-  /** Counts what was spent elsewhere. */
-  note (amount: number, nowMs: number): void
-  /** Takes back what was counted and not used. */
-  giveBack (amount: number, nowMs: number): void
-  /** Spent within the window. */
+  /** Counts an amount spent elsewhere. */
+  record (amount: number, nowMs: number): void
+  /** Subtracts an amount that was counted but not used. */
+  refund (amount: number, nowMs: number): void
+  /** Returns the amount spent within the window. */
   spent (nowMs: number): number
-  /** Spent in each of so many equal parts of the window, the latest first. */
+  /** Returns the amounts spent in each of `parts` equal parts of the window, the latest first. */
   byAge (parts: number, nowMs: number): number[]
 }
 
-/** Amounts are counted by slots; one leaves the window when its last moment does. */
+/** Amounts are counted in slots; a slot leaves the window when its end does. */
 const SLOT_MS = 50
 
 interface Slot {
@@ -30,12 +33,12 @@
 
   const expire = (nowMs: number): void => {
     const oldest = Math.floor((nowMs - windowMs) / SLOT_MS)
-    const gone = slots.filter(slot => slot.index < oldest)
-    if (gone.length === 0) return
+    const expired = slots.filter(slot => slot.index < oldest)
+    if (expired.length === 0) return
     slots = slots.filter(slot => slot.index >= oldest)
     total = slots.reduce((sum, slot) => sum + slot.amount, 0)
   }
-  const note = (amount: number, nowMs: number): void => {
+  const record = (amount: number, nowMs: number): void => {
     expire(nowMs)
     const index = Math.floor(nowMs / SLOT_MS)
     const last = slots.at(-1)
@@ -43,8 +46,8 @@
     else slots.push({ index, amount })
     total += amount
   }
-  /** Until so much has left the window, milliseconds. */
-  const untilFree = (amount: number, nowMs: number): number => {
+  /** Returns the time until `amount` has left the window, in milliseconds. */
+  const msUntilFree = (amount: number, nowMs: number): number => {
     let freed = 0
     const slot = slots.find(each => {
       freed += each.amount
@@ -56,13 +59,13 @@
     take: (amount, limit, nowMs) => {
       expire(nowMs)
       const excess = total + amount - limit
-      // More than the whole limit is never there at once: it is let through an empty window, and fills it.
-      if (excess > 0 && total > 0) return untilFree(Math.min(excess, total), nowMs)
-      note(amount, nowMs)
+      // An amount above the whole limit never fits, so it is granted when the window is empty, and fills it.
+      if (excess > 0 && total > 0) return msUntilFree(Math.min(excess, total), nowMs)
+      record(amount, nowMs)
       return 0
     },
-    note,
-    giveBack: (amount, nowMs) => note(-amount, nowMs),
+    record,
+    refund: (amount, nowMs) => record(-amount, nowMs),
     byAge: (parts, nowMs) => {
       expire(nowMs)
       const amounts = Array.from({ length: parts }, () => 0)
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -229,11 +229,11 @@
     }),
     onReport: (member, report) => {
       report.leavingServers.forEach(servers.noteLeaving)
-      allowance.notePeerSpending(member.incarnation, report.spent)
+      allowance.recordPeerSpending(member.incarnation, report.spent)
     },
     onSummary: (member, summary) => {
       spread.noteSummary(member.id, summary)
-      allowance.noteFleetSpending(summary.spent)
+      allowance.recordFleetSpending(summary.spent)
     }
   })
   const proxy = createStoreProxy({
