--- a/bench/cold/product.ts
+++ b/bench/cold/product.ts
@@ -1,5 +1,5 @@
 /** The product's own cells and routing, over the stand-ins. */
-import { advance, createWorld } from 'magnoliabay/cells/__tests__/support/world'
+import { advance, createCellsHarness } from 'magnoliabay/cells/__tests__/support/harness'
 import type { Contender } from './measure'
 import { ENGINE_MIB, FULL_SPEED_LOADS } from './workload'
 import type { Workload } from './workload'
@@ -9,7 +9,7 @@
 
 export async function createProduct (workload: Workload): Promise<Contender> {
   const { site, models } = workload
-  const world = createWorld({
+  const harness = createCellsHarness({
     instances: site.instances,
     engines: site.engines,
     engine: { memoryMiB: ENGINE_MIB },
@@ -20,18 +20,18 @@
       weightStore: { loadsPerSecond: site.loadsPerSecond, fullSpeedLoads: FULL_SPEED_LOADS }
     }
   })
-  await advance(world, START_MS)
+  await advance(harness, START_MS)
   return {
-    clock: world.clock,
-    engines: world.engines,
-    weights: world.weights,
+    clock: harness.clock,
+    engines: harness.engines,
+    weights: harness.weights,
     serve: async ({ instance, model }) => {
-      const { routing } = world.instance(`entry-${instance + 1}`)
+      const { routing } = harness.instance(`entry-${instance + 1}`)
       const route = await routing.acquireReplica({
-        modelOrAdapter: model, deadlineMs: world.clock.monotonic() + PATIENCE_MS, excludedEngines: new Set(), signal: new AbortController().signal
+        modelOrAdapter: model, deadlineMs: harness.clock.monotonic() + PATIENCE_MS, excludedEngines: new Set(), signal: new AbortController().signal
       })
       return route.ok ? { engine: route.val.replica.engine, release: route.val.release } : undefined
     },
-    close: world.close
+    close: harness.close
   }
 }
--- a/packages/magnoliabay/src/node/cells/__tests__/support/directEngines.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/directEngines.ts
@@ -10,10 +10,10 @@
 
 /** An engine's address is its id. */
 export function createDirectEngineClient (engines: readonly EngineStandIn[], clock: Clock): EngineClient {
-  const of = (address: string): EngineStandIn | undefined => engines.find(engine => engine.id === address && !engine.isDown())
+  const engineAt = (address: string): EngineStandIn | undefined => engines.find(engine => engine.id === address && !engine.isDown())
   return {
     order: async (address, order, timeoutMs) => {
-      const engine = of(address)
+      const engine = engineAt(address)
       if (engine === undefined) return Err(UNREACHABLE)
       const { orderAnswer, orderAnswerDelayMs } = engine.faults.current
       const carriedOut = engine.executeOrder(order)
@@ -27,11 +27,11 @@
       return reply === undefined ? Err(NO_ANSWER) : Ok(reply)
     },
     state: async address => {
-      const engine = of(address)
+      const engine = engineAt(address)
       return engine === undefined ? Err(UNREACHABLE) : Ok(engine.state())
     },
     loadReport: async address => {
-      const engine = of(address)
+      const engine = engineAt(address)
       return engine === undefined ? Err(UNREACHABLE) : Ok(engine.load())
     },
     cacheEvents: async () => Ok({ oldest: 0, events: [] }),
--- a/packages/magnoliabay/src/node/cells/__tests__/support/pausable.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/pausable.ts
@@ -16,23 +16,23 @@
 export function createPausable (clock: Clock): Pausable {
   let isPaused = false
   let isStopped = false
-  let due: Array<() => void> = []
-  const enter = (callback: () => void): void => {
+  let deferred: Array<() => void> = []
+  const runOrDefer = (callback: () => void): void => {
     if (isStopped) return
-    if (isPaused) due.push(callback)
+    if (isPaused) deferred.push(callback)
     else callback()
   }
-  const gate = <T>(promise: Promise<T>): Promise<T> => promise.then(value => new Promise<T>(resolve => enter(() => resolve(value))))
+  const deferResult = <T>(promise: Promise<T>): Promise<T> => promise.then(value => new Promise<T>(resolve => runOrDefer(() => resolve(value))))
   /** A call of a process that has ended is never made. */
   const call = <Args extends unknown[], T>(target: (...args: Args) => Promise<T>) => (...args: Args): Promise<T> =>
-    isStopped ? new Promise<T>(() => {}) : gate(target(...args))
+    isStopped ? new Promise<T>(() => {}) : deferResult(target(...args))
   return {
     clock: {
       now: clock.now,
       monotonic: clock.monotonic,
       schedule: (delayMs, callback) => {
         let isCancelled = false
-        const cancel = clock.schedule(delayMs, () => enter(() => { if (!isCancelled) callback() }))
+        const cancel = clock.schedule(delayMs, () => runOrDefer(() => { if (!isCancelled) callback() }))
         return () => {
           isCancelled = true
           cancel()
@@ -47,8 +47,8 @@
       renewLease: call(store.renewLease),
       revokeLease: call(store.revokeLease),
       watch: (prefix, handlers, signal) => store.watch(prefix, {
-        onEvent: event => enter(() => handlers.onEvent(event)),
-        onSnapshot: snapshot => enter(() => handlers.onSnapshot(snapshot))
+        onEvent: event => runOrDefer(() => handlers.onEvent(event)),
+        onSnapshot: snapshot => runOrDefer(() => handlers.onSnapshot(snapshot))
       }, signal)
     }),
     engines: engines => ({
@@ -62,9 +62,9 @@
     pause: () => { isPaused = true },
     resume: () => {
       isPaused = false
-      const missed = due
-      due = []
-      missed.forEach(enter)
+      const callbacks = deferred
+      deferred = []
+      callbacks.forEach(runOrDefer)
     },
     stop: () => { isStopped = true }
   }
--- a/packages/magnoliabay/src/node/cells/adapterLoader.ts
+++ b/packages/magnoliabay/src/node/cells/adapterLoader.ts
@@ -4,52 +4,52 @@
 import type { AdapterCharge, EngineAccount } from './engineAccount'
 import type { CellLeaderContext } from './context'
 import type { ReplicaOps } from './replicaOps'
-import type { Slots } from './loadLimiter'
-import type { Wants } from './pendingDemand'
+import type { LoadLimiter } from './loadLimiter'
+import type { PendingDemand } from './pendingDemand'
 
-export interface AdapterCareOptions {
+export interface AdapterLoaderOptions {
   ctx: CellLeaderContext
   ops: ReplicaOps
-  wants: Wants
-  slots: Slots
+  pendingDemand: PendingDemand
+  loadLimiter: LoadLimiter
 }
 
-export interface AdapterCare {
-  run (): void
+export interface AdapterLoader {
+  reconcile (): void
 }
 
-export function createAdapterCare (options: AdapterCareOptions): AdapterCare {
-  const { ctx, ops, wants, slots } = options
+export function createAdapterLoader (options: AdapterLoaderOptions): AdapterLoader {
+  const { ctx, ops, pendingDemand, loadLimiter } = options
   const { clock, accounts } = ctx
 
-  const hostOf = (adapter: AdapterConfig): EngineAccount | undefined => [...accounts.values()]
-    .filter(account => account.replicas.get(adapter.model)?.life.state() === 'loaded')
+  const pickEngine = (adapter: AdapterConfig): EngineAccount | undefined => [...accounts.values()]
+    .filter(account => account.replicas.get(adapter.model)?.lifecycle.state() === 'loaded')
     .sort((left, right) => freeMiB(right) - freeMiB(left))[0]
-  const isThere = (adapter: string): boolean => [...accounts.values()].some(account => account.adapters.has(adapter))
-  const leastUsed = (account: EngineAccount): AdapterCharge | undefined => [...account.adapters.values()]
+  const isOnAnyEngine = (adapter: string): boolean => [...accounts.values()].some(account => account.adapters.has(adapter))
+  const leastRecentlyUsed = (account: EngineAccount): AdapterCharge | undefined => [...account.adapters.values()]
     .filter(adapter => adapter.isLoaded)
     .sort((left, right) => left.lastUsedMs - right.lastUsedMs)[0]
-  const start = async (account: EngineAccount, adapter: AdapterConfig): Promise<void> => {
-    slots.take()
+  const load = async (account: EngineAccount, adapter: AdapterConfig): Promise<void> => {
+    loadLimiter.acquire()
     await ops.loadAdapter(account, adapter.name, adapter.model, adapter.memoryMiB)
-    slots.release()
-    run()
+    loadLimiter.release()
+    reconcile()
   }
-  const decide = (adapter: AdapterConfig): void => {
-    const account = hostOf(adapter)
-    if (account === undefined || isThere(adapter.name) || !slots.isFree()) return
+  const loadOrMakeRoom = (adapter: AdapterConfig): void => {
+    const account = pickEngine(adapter)
+    if (account === undefined || isOnAnyEngine(adapter.name) || !loadLimiter.hasCapacity()) return
     if (freeMiB(account) >= adapter.memoryMiB) {
-      start(account, adapter)
+      load(account, adapter)
       return
     }
     // Room comes with the confirmed unload; the want stands and is looked at again then.
-    const victim = leastUsed(account)
-    if (victim !== undefined) ops.unloadAdapter(account, victim.adapter).then(run)
+    const victim = leastRecentlyUsed(account)
+    if (victim !== undefined) ops.unloadAdapter(account, victim.adapter).then(reconcile)
   }
-  const run = (): void => {
+  const reconcile = (): void => {
     if (ctx.isStopped()) return
-    const wanted = wants.ordered(clock.monotonic(), () => 0).flatMap(want => [...want.adapters])
-    wanted.map(ctx.cfg.adapter).filter(adapter => adapter !== undefined).forEach(decide)
+    const awaited = pendingDemand.byUrgency(clock.monotonic(), () => 0).flatMap(demand => [...demand.adapters])
+    awaited.map(ctx.cfg.adapter).filter(adapter => adapter !== undefined).forEach(loadOrMakeRoom)
   }
-  return { run }
+  return { reconcile }
 }
--- a/packages/magnoliabay/src/node/cells/context.ts
+++ b/packages/magnoliabay/src/node/cells/context.ts
@@ -22,8 +22,8 @@
   readonly directory: BackendDirectory
   readonly engines: EngineClient
   readonly intents: Intents
-  readonly sender: OrderSender
-  readonly times: LoadTimes
+  readonly orderSender: OrderSender
+  readonly loadTimes: LoadTimes
   readonly accounts: Map<string, EngineAccount>
   isStopped (): boolean
   /** Something says that another steward holds the cell: this one ends at once. */
--- a/packages/magnoliabay/src/node/cells/engineAccount.ts
+++ b/packages/magnoliabay/src/node/cells/engineAccount.ts
@@ -3,8 +3,8 @@
  * when the engine has confirmed that the model is gone.
  */
 import type { CheckpointTier, EngineRole } from '../backend/protocol'
-import { createReplicaLife } from './replicaLifecycle'
-import type { ReplicaLife } from './replicaLifecycle'
+import { createReplicaLifecycle } from './replicaLifecycle'
+import type { ReplicaLifecycle } from './replicaLifecycle'
 
 export interface Replica {
   engine: string
@@ -13,7 +13,7 @@
   memoryMiB: number
   /** The last order about it. */
   orderId: string
-  life: ReplicaLife
+  lifecycle: ReplicaLifecycle
   /** An order about it is under way: its answer, not the engine's state, tells what comes next. */
   hasOpenOrder: boolean
   /** Monotonic milliseconds. */
@@ -79,7 +79,7 @@
   orderId: string
   nowMs: number
   /** @default a life that begins at `decided` */
-  from?: 'loaded' | 'unknown'
+  initialState?: 'loaded' | 'unknown'
 }
 
 /** Adds a replica to the account, which charges its memory from now on. */
@@ -90,7 +90,7 @@
     version: options.version ?? '1',
     memoryMiB: options.memoryMiB,
     orderId: options.orderId,
-    life: createReplicaLife(options.from),
+    lifecycle: createReplicaLifecycle(options.initialState),
     hasOpenOrder: false,
     lastUsedMs: options.nowMs,
     loadedAtMs: options.nowMs,
@@ -102,7 +102,7 @@
 
 /** Frees a replica's memory once its life has ended. */
 export function dropIfGone (account: EngineAccount, replica: Replica): void {
-  if (replica.life.state() !== 'gone') return
+  if (replica.lifecycle.state() !== 'gone') return
   if (account.replicas.get(replica.model) === replica) account.replicas.delete(replica.model)
   const adapters = [...account.adapters.values()].filter(adapter => adapter.model === replica.model)
   adapters.forEach(adapter => account.adapters.delete(adapter.adapter))
@@ -119,5 +119,5 @@
 }
 
 export function loadedReplicas (account: EngineAccount): Replica[] {
-  return [...account.replicas.values()].filter(replica => replica.life.state() === 'loaded')
+  return [...account.replicas.values()].filter(replica => replica.lifecycle.state() === 'loaded')
 }
--- a/packages/magnoliabay/src/node/cells/engineTakeover.ts
+++ b/packages/magnoliabay/src/node/cells/engineTakeover.ts
@@ -10,36 +10,36 @@
 import type { EngineAccount } from './engineAccount'
 import type { Intent } from './records'
 
-export type TakeUp =
+export type EngineTakeover =
   | { kind: 'taken', account: EngineAccount, unresolved: readonly Intent[] }
   | { kind: 'refused', reason: string }
   | { kind: 'superseded' }
 
-export interface TakeUpRequest {
+export interface EngineTakeoverRequest {
   listed: ListedInstance
   fence: number
   nowMs: number
   engines: EngineClient
   /** Orders of earlier stewards that may still arrive, or undefined while they are not all known. */
-  earlier: () => Promise<readonly Intent[] | undefined>
+  readInheritedIntents: () => Promise<readonly Intent[] | undefined>
   /** Whether every earlier steward is proven gone or has given the cell up. */
-  areAllAccountedFor: () => boolean
+  areFormerLeadersInactive: () => boolean
 }
 
-const RAISE_TIMEOUT_MS = 5000
+const RAISE_FENCE_TIMEOUT_MS = 5000
 
-export async function takeUpEngine (req: TakeUpRequest): Promise<TakeUp> {
+export async function takeOverEngine (req: EngineTakeoverRequest): Promise<EngineTakeover> {
   const { listed, engines } = req
-  const raised = await engines.order(listed.address, { orderId: createId('order'), fence: req.fence, action: 'raise-fence' }, RAISE_TIMEOUT_MS)
+  const raised = await engines.order(listed.address, { orderId: createId('order'), fence: req.fence, action: 'raise-fence' }, RAISE_FENCE_TIMEOUT_MS)
   if (raised.ok && raised.val.outcome === 'stale-fence') return { kind: 'superseded' }
   const state = await engines.state(listed.address)
   if (state.err) return { kind: 'refused', reason: state.val.message }
   // Where the answer was lost, the state shows whether the fence is up; where fences are ignored, it need not be.
   if (raised.err && state.val.checksFence && state.val.fence < req.fence) return { kind: 'refused', reason: raised.val.message }
-  const account = accountOfState(state.val, req.nowMs)
+  const account = accountFromState(state.val, req.nowMs)
   if (state.val.checksFence && state.val.fence > req.fence) return { kind: 'superseded' }
   if (state.val.checksFence) return { kind: 'taken', account, unresolved: [] }
-  return await takeUpUnfenced(req, account)
+  return await takeOverUnfenced(req, account)
 }
 
 /**
@@ -47,22 +47,22 @@
  * steward must not be able to send any more, and each of its intents is charged and sent again under its own
  * id: the answer tells what became of it, and a late copy of it then does nothing.
  */
-async function takeUpUnfenced (req: TakeUpRequest, account: EngineAccount): Promise<TakeUp> {
-  if (!req.areAllAccountedFor()) return { kind: 'refused', reason: 'ignores fencing, and an earlier steward may still act' }
-  const intents = await req.earlier()
+async function takeOverUnfenced (req: EngineTakeoverRequest, account: EngineAccount): Promise<EngineTakeover> {
+  if (!req.areFormerLeadersInactive()) return { kind: 'refused', reason: 'ignores fencing, and an earlier steward may still act' }
+  const intents = await req.readInheritedIntents()
   if (intents === undefined) return { kind: 'refused', reason: 'too few members answered about intents' }
-  const mine = intents.filter(intent => intent.engine === account.engine)
-  mine.filter(intent => intent.action === 'load' && !account.replicas.has(intent.model)).forEach(intent =>
-    addReplica(account, { ...intent, nowMs: req.nowMs, from: 'unknown' }))
-  mine.filter(intent => intent.action === 'load-adapter' && !account.adapters.has(intent.adapter!)).forEach(intent =>
+  const inherited = intents.filter(intent => intent.engine === account.engine)
+  inherited.filter(intent => intent.action === 'load' && !account.replicas.has(intent.model)).forEach(intent =>
+    addReplica(account, { ...intent, nowMs: req.nowMs, initialState: 'unknown' }))
+  inherited.filter(intent => intent.action === 'load-adapter' && !account.adapters.has(intent.adapter!)).forEach(intent =>
     account.adapters.set(intent.adapter!, { adapter: intent.adapter!, model: intent.model, memoryMiB: intent.memoryMiB, isLoaded: false, lastUsedMs: req.nowMs }))
-  return { kind: 'taken', account, unresolved: mine }
+  return { kind: 'taken', account, unresolved: inherited }
 }
 
-function accountOfState (state: EngineState, nowMs: number): EngineAccount {
+function accountFromState (state: EngineState, nowMs: number): EngineAccount {
   const account = createEngineAccount(state.engine, state.memoryMiB)
-  noteState(account, state)
-  state.models.forEach(held => adopt(account, held, nowMs))
+  applyEngineState(account, state)
+  state.models.forEach(held => adoptModel(account, held, nowMs))
   state.adapters.forEach(held => account.adapters.set(held.adapter, {
     adapter: held.adapter,
     model: held.model,
@@ -74,7 +74,7 @@
 }
 
 /** Takes over what an engine says about itself, but for what it holds. */
-export function noteState (account: EngineAccount, state: EngineState): void {
+export function applyEngineState (account: EngineAccount, state: EngineState): void {
   account.incarnation = state.incarnation
   account.memoryMiB = state.memoryMiB
   account.checksFence = state.checksFence
@@ -84,7 +84,7 @@
 }
 
 /** Charges a model that the engine holds. One that is not loaded yet, or not unloaded yet, is looked at again. */
-export function adopt (account: EngineAccount, held: LoadedModel, nowMs: number): void {
+export function adoptModel (account: EngineAccount, held: LoadedModel, nowMs: number): void {
   addReplica(account, {
     engine: account.engine,
     model: held.model,
@@ -92,6 +92,6 @@
     memoryMiB: held.memoryMiB,
     orderId: held.orderId,
     nowMs,
-    from: held.state === 'loaded' ? 'loaded' : 'unknown'
+    initialState: held.state === 'loaded' ? 'loaded' : 'unknown'
   })
 }
--- a/packages/magnoliabay/src/node/cells/idleEviction.ts
+++ b/packages/magnoliabay/src/node/cells/idleEviction.ts
@@ -3,63 +3,63 @@
 import { freeMiB, loadedReplicas } from './engineAccount'
 import type { EngineAccount, Replica } from './engineAccount'
 import type { CellLeaderContext } from './context'
-import { decideKeepMs, predictNextUse } from './keepAlivePolicy'
+import { decideKeepAliveMs, predictNextUse } from './keepAlivePolicy'
 import type { GapHistory } from './keepAlivePolicy'
 import type { ReplicaOps } from './replicaOps'
-import type { Wants } from './pendingDemand'
+import type { PendingDemand } from './pendingDemand'
 
-export interface IdleCareOptions {
+export interface IdleEvictionOptions {
   ctx: CellLeaderContext
   ops: ReplicaOps
   history: GapHistory
-  wants: Wants
-  targetOf: (model: string) => number
+  pendingDemand: PendingDemand
+  targetReplicas: (model: string) => number
 }
 
-export interface IdleCare {
-  tend (): void
+export interface IdleEviction {
+  maintain (): void
 }
 
 /** An adapter unused for this long is unloaded: loading it again takes milliseconds. */
-const ADAPTER_IDLE_MS = 120_000
+const ADAPTER_IDLE_TIMEOUT_MS = 120_000
 /** A replica beyond what the load needs is kept for this long. */
-const SURPLUS_MS = 60_000
+const SURPLUS_RETENTION_MS = 60_000
 /** Woken this much before it is needed, beyond the time of the load. */
-const AHEAD_MARGIN_MS = 1000
-const PATIENCE_AHEAD_MS = 60_000
+const PRELOAD_MARGIN_MS = 1000
+const PRELOAD_PATIENCE_MS = 60_000
 
-export function createIdleCare (options: IdleCareOptions): IdleCare {
-  const { ctx, ops, history, wants } = options
+export function createIdleEviction (options: IdleEvictionOptions): IdleEviction {
+  const { ctx, ops, history, pendingDemand } = options
   const { clock, accounts } = ctx
 
-  const keepMs = (replica: Replica): number => {
-    const coldStartMs = ctx.times.expectedMs('remote', replica.memoryMiB)
-    return decideKeepMs(history.gaps(replica.model), { coldStartWorthMs: ctx.cfg.active().fleet.coldStartWorth * coldStartMs })
+  const keepAliveMs = (replica: Replica): number => {
+    const coldStartMs = ctx.loadTimes.expectedMs('remote', replica.memoryMiB)
+    return decideKeepAliveMs(history.gaps(replica.model), { coldStartWorthMs: ctx.cfg.active().fleet.coldStartWorth * coldStartMs })
   }
-  const isAwaited = (replica: Replica): boolean => {
+  const isUseExpected = (replica: Replica): boolean => {
     const nextUse = predictionOf(replica.model)
-    return nextUse !== undefined && isNear(nextUse.atMs, nextUse.spreadMs, replica.memoryMiB)
+    return nextUse !== undefined && isUseImminent(nextUse.atMs, nextUse.spreadMs, replica.memoryMiB)
   }
   const predictionOf = (model: string): ReturnType<typeof predictNextUse> => {
     const lastUseMs = history.lastUseMs(model)
     return lastUseMs === undefined ? undefined : predictNextUse(lastUseMs, history.gaps(model))
   }
-  const isNear = (atMs: number, spreadMs: number, memoryMiB: number): boolean => {
-    const leadMs = ctx.times.expectedMs('remote', memoryMiB) + spreadMs + AHEAD_MARGIN_MS
-    return clock.monotonic() >= atMs - leadMs && clock.monotonic() <= atMs + spreadMs + AHEAD_MARGIN_MS
+  const isUseImminent = (atMs: number, spreadMs: number, memoryMiB: number): boolean => {
+    const leadMs = ctx.loadTimes.expectedMs('remote', memoryMiB) + spreadMs + PRELOAD_MARGIN_MS
+    return clock.monotonic() >= atMs - leadMs && clock.monotonic() <= atMs + spreadMs + PRELOAD_MARGIN_MS
   }
   const isIdle = (replica: Replica): boolean => {
     const idleMs = clock.monotonic() - replica.lastUsedMs
-    return idleMs > keepMs(replica) && wants.get(replica.model) === undefined && !isAwaited(replica)
+    return idleMs > keepAliveMs(replica) && pendingDemand.get(replica.model) === undefined && !isUseExpected(replica)
   }
   const loaded = (): Array<{ account: EngineAccount, replica: Replica }> =>
     [...accounts.values()].flatMap(account => loadedReplicas(account).map(replica => ({ account, replica })))
-  const surplusOf = (all: ReturnType<typeof loaded>): ReturnType<typeof loaded> => {
+  const findSurplus = (all: ReturnType<typeof loaded>): ReturnType<typeof loaded> => {
     const counts = new Map<string, number>()
     return all.filter(({ replica }) => {
       const count = (counts.get(replica.model) ?? 0) + 1
       counts.set(replica.model, count)
-      return count > Math.max(1, options.targetOf(replica.model)) && clock.monotonic() - replica.loadedAtMs > SURPLUS_MS
+      return count > Math.max(1, options.targetReplicas(replica.model)) && clock.monotonic() - replica.loadedAtMs > SURPLUS_RETENTION_MS
     })
   }
   const unloadIdle = (): void => {
@@ -69,28 +69,28 @@
       const idleSeconds = Math.round((clock.monotonic() - replica.lastUsedMs) / 1000)
       ops.unload(account, replica, `unused for ${idleSeconds} s`)
     })
-    const surplus = surplusOf(all.filter(({ replica }) => replica.life.state() === 'loaded'))
+    const surplus = findSurplus(all.filter(({ replica }) => replica.lifecycle.state() === 'loaded'))
     surplus.forEach(({ account, replica }) => { ops.unload(account, replica, 'more replicas than its load needs') })
   }
   const unloadAdapters = (): void => [...accounts.values()].forEach(account => {
-    const idle = [...account.adapters.values()].filter(adapter => adapter.isLoaded && clock.monotonic() - adapter.lastUsedMs > ADAPTER_IDLE_MS)
+    const idle = [...account.adapters.values()].filter(adapter => adapter.isLoaded && clock.monotonic() - adapter.lastUsedMs > ADAPTER_IDLE_TIMEOUT_MS)
     idle.forEach(adapter => { ops.unloadAdapter(account, adapter.adapter) })
   })
   /** Only into free memory: nobody who is there now has to go for a guess. */
-  const wakeAhead = (model: ModelConfig): void => {
+  const preload = (model: ModelConfig): void => {
     const prediction = predictionOf(model.name)
-    if (prediction === undefined || !isNear(prediction.atMs, prediction.spreadMs, model.memoryMiB)) return
-    const isThere = [...accounts.values()].some(account => account.replicas.has(model.name))
+    if (prediction === undefined || !isUseImminent(prediction.atMs, prediction.spreadMs, model.memoryMiB)) return
+    const isOnAnyEngine = [...accounts.values()].some(account => account.replicas.has(model.name))
     const hasRoom = [...accounts.values()].some(account => freeMiB(account) >= model.memoryMiB)
-    if (!isThere && hasRoom) wants.add({ model: model.name, adapters: [], waiting: 0, patienceMs: PATIENCE_AHEAD_MS, weight: 1, isAhead: true }, clock.monotonic())
+    if (!isOnAnyEngine && hasRoom) pendingDemand.add({ model: model.name, adapters: [], waiting: 0, patienceMs: PRELOAD_PATIENCE_MS, weight: 1, isPredicted: true }, clock.monotonic())
   }
 
   return {
-    tend: () => {
+    maintain: () => {
       unloadIdle()
       unloadAdapters()
       const known = history.models().map(ctx.cfg.model).filter(model => model !== undefined)
-      known.forEach(wakeAhead)
+      known.forEach(preload)
     }
   }
 }
--- a/packages/magnoliabay/src/node/cells/inheritedReplicas.ts
+++ b/packages/magnoliabay/src/node/cells/inheritedReplicas.ts
@@ -6,44 +6,44 @@
 import type { Clock } from '../clock'
 import type { Intent, ReplicaTable } from './records'
 
-export interface Remembered {
+export interface InheritedReplicas {
   /** Adds the loads that earlier stewards had recorded and not seen answered. */
   addIntents (intents: readonly Intent[]): void
   /** Replicas of the model that may be on engines not taken up. */
   countOf (model: string): number
   /** Says which engines have been taken up, and which are listed. */
-  update (takenUp: (engine: string) => boolean, isListed: (engine: string) => boolean): void
+  update (isTakenOver: (engine: string) => boolean, isListed: (engine: string) => boolean): void
 }
 
-interface Whereabouts {
+interface ReplicaLocation {
   engine: string
   model: string
 }
 
 /** As long as an engine that was taken up is kept once it has vanished from the list. */
-const FORGET_UNLISTED_MS = 30_000
+const UNLISTED_RETENTION_MS = 30_000
 
-export function createRemembered (before: ReplicaTable | undefined, clock: Clock): Remembered {
-  let replicas: Whereabouts[] = [...before?.replicas ?? []]
+export function createInheritedReplicas (previousTable: ReplicaTable | undefined, clock: Clock): InheritedReplicas {
+  let replicas: ReplicaLocation[] = [...previousTable?.replicas ?? []]
   const unlistedSinceMs = new Map<string, number>()
-  const isForgotten = (engine: string, isListed: boolean): boolean => {
+  const isExpired = (engine: string, isListed: boolean): boolean => {
     if (isListed) {
       unlistedSinceMs.delete(engine)
       return false
     }
     const sinceMs = unlistedSinceMs.get(engine) ?? clock.monotonic()
     unlistedSinceMs.set(engine, sinceMs)
-    return clock.monotonic() - sinceMs >= FORGET_UNLISTED_MS
+    return clock.monotonic() - sinceMs >= UNLISTED_RETENTION_MS
   }
-  const isKnown = (place: Whereabouts): boolean =>
-    replicas.some(replica => replica.engine === place.engine && replica.model === place.model)
+  const isKnown = (location: ReplicaLocation): boolean =>
+    replicas.some(replica => replica.engine === location.engine && replica.model === location.model)
   return {
     addIntents: intents => {
       replicas.push(...intents.filter(intent => intent.action === 'load' && !isKnown(intent)))
     },
     countOf: model => replicas.filter(replica => replica.model === model).length,
-    update: (takenUp, isListed) => {
-      replicas = replicas.filter(({ engine }) => !takenUp(engine) && !isForgotten(engine, isListed(engine)))
+    update: (isTakenOver, isListed) => {
+      replicas = replicas.filter(({ engine }) => !isTakenOver(engine) && !isExpired(engine, isListed(engine)))
     }
   }
 }
--- a/packages/magnoliabay/src/node/cells/intents.ts
+++ b/packages/magnoliabay/src/node/cells/intents.ts
@@ -24,27 +24,27 @@
   /** The order of the intent was answered. */
   forget (orderId: string): void
   /** Carries out what `forget` could not do yet. */
-  flush (): Promise<void>
+  flushDeletes (): Promise<void>
   /** Intents of earlier stewards, or undefined while too few members have answered to know all. */
-  earlier (): Promise<readonly Intent[] | undefined>
+  readInherited (): Promise<readonly Intent[] | undefined>
   /** Recorded and not forgotten. */
-  open (): readonly Intent[]
+  openIntents (): readonly Intent[]
 }
 
 /** Failure domains, other than the steward's own, that must hold an intent while the store is dark. */
-const PEER_COPIES = 2
+const MIN_PEER_COPIES = 2
 /** A copy is in two domains, so one whole domain may be silent and every intent is still seen. */
-const SILENT_DOMAINS_ALLOWED = 1
+const MAX_SILENT_DOMAINS = 1
 /** Members of one domain that are asked before it counts as silent. */
-const DOMAIN_TRIES = 3
-const FORGET_BATCH = 64
+const MAX_ATTEMPTS_PER_DOMAIN = 3
+const MAX_DELETES_PER_BATCH = 64
 
 export function createIntents (options: IntentsOptions): Intents {
   const { cell, fence, store, peers, logger } = options
   const recorded = new Map<string, Intent>()
-  const forgotten = new Set<string>()
+  const pendingDeletes = new Set<string>()
 
-  const inStore = async (intent: Intent): Promise<RecordOutcome> => {
+  const recordInStore = async (intent: Intent): Promise<RecordOutcome> => {
     const answer = await store.transact({
       compares: [{ key: cellLeaderKey(cell), target: 'mod', equals: fence }],
       writes: [{ kind: 'put', key: intentKey(cell, intent.orderId), value: JSON.stringify(intent) }]
@@ -55,14 +55,14 @@
     const found = await store.get(intentKey(cell, intent.orderId), { priority: 'ownership' })
     return found.ok && found.val !== undefined ? 'stored' : 'nowhere'
   }
-  const onPeers = async (intent: Intent): Promise<RecordOutcome> => {
+  const recordOnPeers = async (intent: Intent): Promise<RecordOutcome> => {
     const domains = groupByDomain(peers.members().filter(member => member.failureDomain !== peers.self.failureDomain))
     const copies = await Promise.all([...domains.values()].map(members => holdInDomain(intent, members)))
-    return copies.filter(held => held).length >= PEER_COPIES ? 'on-peers' : 'nowhere'
+    return copies.filter(held => held).length >= MIN_PEER_COPIES ? 'on-peers' : 'nowhere'
   }
   /** Asks the domain's members one after another until one holds it. */
   const holdInDomain = async (intent: Intent, members: readonly MemberRecord[]): Promise<boolean> => {
-    for (const member of members.filter(candidate => peers.isConnected(candidate.id)).slice(0, DOMAIN_TRIES)) {
+    for (const member of members.filter(candidate => peers.isConnected(candidate.id)).slice(0, MAX_ATTEMPTS_PER_DOMAIN)) {
       const reply = await peers.call(member.id, holdIntentCall, intent)
       if (reply.ok && reply.val.held) return true
     }
@@ -72,21 +72,21 @@
   return {
     record: async intent => {
       recorded.set(intent.orderId, intent)
-      const stored = await inStore(intent)
-      const outcome = stored === 'nowhere' ? await onPeers(intent) : stored
+      const stored = await recordInStore(intent)
+      const outcome = stored === 'nowhere' ? await recordOnPeers(intent) : stored
       if (outcome === 'nowhere' || outcome === 'superseded') {
         recorded.delete(intent.orderId)
-        forgotten.add(intent.orderId)
+        pendingDeletes.add(intent.orderId)
         logger.warn('intent-not-recorded', { order: intent.orderId, model: intent.model, reason: outcome })
       }
       return outcome
     },
     forget: orderId => {
       recorded.delete(orderId)
-      forgotten.add(orderId)
+      pendingDeletes.add(orderId)
     },
-    flush: async () => {
-      const orderIds = [...forgotten].slice(0, FORGET_BATCH)
+    flushDeletes: async () => {
+      const orderIds = [...pendingDeletes].slice(0, MAX_DELETES_PER_BATCH)
       if (orderIds.length === 0) return
       const answer = await store.transact({
         compares: [],
@@ -94,21 +94,21 @@
       })
       if (answer.err) return
       peers.notifyAll(dropIntentsNotice, orderIds)
-      orderIds.forEach(orderId => forgotten.delete(orderId))
+      orderIds.forEach(orderId => pendingDeletes.delete(orderId))
     },
-    earlier: async () => {
+    readInherited: async () => {
       const range = await store.range(intentsPrefix(cell), { priority: 'ownership' })
       if (range.err) return undefined
       const others = peers.members().filter(member => member.id !== peers.self.id)
       const answers = await Promise.all(others.map(async member => ({ member, reply: await peers.call(member.id, heldIntentsCall, cell) })))
-      const silent = new Set(answers.filter(({ reply }) => reply.err).map(({ member }) => member.failureDomain))
-      if (silent.size > SILENT_DOMAINS_ALLOWED) return undefined
+      const silentDomains = new Set(answers.filter(({ reply }) => reply.err).map(({ member }) => member.failureDomain))
+      if (silentDomains.size > MAX_SILENT_DOMAINS) return undefined
       const stored = range.val.entries.map(entry => JSON.parse(entry.value) as Intent)
       const held = answers.flatMap(({ reply }) => reply.ok ? reply.val : [])
       const byOrder = new Map([...held, ...stored].map(intent => [intent.orderId, intent]))
       return [...byOrder.values()].filter(intent => intent.fence < fence)
     },
-    open: () => [...recorded.values()]
+    openIntents: () => [...recorded.values()]
   }
 }
 
@@ -119,11 +119,11 @@
 }
 
 /** Most intents held for others; far above what two thousand engines could have open. */
-const MAX_HELD = 10_000
+const MAX_HELD_INTENTS = 10_000
 
 export interface HeldIntents {
   /** Fence of the newest steward known of a cell; older ones are refused. */
-  noteFence (cell: string, fence: number): void
+  recordFence (cell: string, fence: number): void
 }
 
 /** Holds intents of other stewards while the store is dark. */
@@ -131,7 +131,7 @@
   const held = new Map<string, Intent>()
   const fences = new Map<string, number>()
   const hold = (intent: Intent): boolean => {
-    if (intent.fence < (fences.get(intent.cell) ?? 0) || held.size >= MAX_HELD) return false
+    if (intent.fence < (fences.get(intent.cell) ?? 0) || held.size >= MAX_HELD_INTENTS) return false
     held.set(intent.orderId, intent)
     return true
   }
@@ -139,6 +139,6 @@
   peers.serve(heldIntentsCall, cell => [...held.values()].filter(intent => intent.cell === cell))
   peers.listen(dropIntentsNotice, orderIds => orderIds.forEach(orderId => held.delete(orderId)))
   return {
-    noteFence: (cell, fence) => { fences.set(cell, Math.max(fence, fences.get(cell) ?? 0)) }
+    recordFence: (cell, fence) => { fences.set(cell, Math.max(fence, fences.get(cell) ?? 0)) }
   }
 }
--- a/packages/magnoliabay/src/node/cells/loadLimiter.ts
+++ b/packages/magnoliabay/src/node/cells/loadLimiter.ts
@@ -1,17 +1,17 @@
 /** A cell's part of what all engines share: loads at the weight store, and adapters in flight. */
 import type { Clock } from '../clock'
 
-export interface SlotsOptions {
+export interface LoadLimiterOptions {
   clock: Clock
   /** At once, as of now. */
-  limit: () => number
+  maxConcurrent: () => number
   /** Begun a second, as of now; no limit when absent. */
-  perSecond?: () => number
+  startsPerSecond?: () => number
 }
 
-export interface Slots {
-  isFree (): boolean
-  take (): void
+export interface LoadLimiter {
+  hasCapacity (): boolean
+  acquire (): void
   release (): void
   /** Until a slot may be taken, as far as the rate tells; 0 for now. */
   waitMs (): number
@@ -20,19 +20,19 @@
 
 const MS_PER_SECOND = 1000
 
-export function createSlots (options: SlotsOptions): Slots {
-  const { clock, limit, perSecond } = options
+export function createLoadLimiter (options: LoadLimiterOptions): LoadLimiter {
+  const { clock, maxConcurrent, startsPerSecond } = options
   let inUse = 0
   let lastStartMs = -Infinity
   const waitMs = (): number => {
-    const spacingMs = perSecond === undefined ? 0 : MS_PER_SECOND / perSecond()
+    const spacingMs = startsPerSecond === undefined ? 0 : MS_PER_SECOND / startsPerSecond()
     return Math.max(0, lastStartMs + spacingMs - clock.monotonic())
   }
   return {
     waitMs,
     inUse: () => inUse,
-    isFree: () => inUse < limit() && waitMs() === 0,
-    take: () => {
+    hasCapacity: () => inUse < maxConcurrent() && waitMs() === 0,
+    acquire: () => {
       inUse += 1
       lastStartMs = clock.monotonic()
     },
--- a/packages/magnoliabay/src/node/cells/loadSubscribers.ts
+++ b/packages/magnoliabay/src/node/cells/loadSubscribers.ts
@@ -7,41 +7,41 @@
 import { loadNotice } from './records'
 import type { LoadNotice } from './records'
 
-export interface Audience {
+export interface LoadSubscribers {
   /** The member sends requests to the cell. One that is new is told at once what the others know. */
-  noteUser (cell: string, memberId: string): void
-  tell (notice: LoadNotice): void
+  subscribe (cell: string, memberId: string): void
+  publish (notice: LoadNotice): void
 }
 
 /** Members report what they use every second; one that was not heard of for this long uses the cell no more. */
-const USER_MS = 10_000
+const SUBSCRIPTION_TTL_MS = 10_000
 
-export function createAudience (peers: Pick<Peers, 'notify'>, clock: Clock): Audience {
+export function createLoadSubscribers (peers: Pick<Peers, 'notify'>, clock: Clock): LoadSubscribers {
   /** When each user of a cell was last heard of, monotonic milliseconds. */
-  const users = new Map<string, Map<string, number>>()
-  const told = new Map<string, LoadNotice>()
+  const subscribers = new Map<string, Map<string, number>>()
+  const lastNotices = new Map<string, LoadNotice>()
 
-  const usersOf = (cell: string): Map<string, number> => {
-    const known = users.get(cell) ?? new Map<string, number>()
-    users.set(cell, known)
+  const subscribersOf = (cell: string): Map<string, number> => {
+    const known = subscribers.get(cell) ?? new Map<string, number>()
+    subscribers.set(cell, known)
     return known
   }
-  const forgetStale = (known: Map<string, number>): void => {
-    const stale = [...known].filter(([, atMs]) => clock.monotonic() - atMs > USER_MS)
-    stale.forEach(([memberId]) => known.delete(memberId))
+  const removeExpired = (known: Map<string, number>): void => {
+    const expired = [...known].filter(([, atMs]) => clock.monotonic() - atMs > SUBSCRIPTION_TTL_MS)
+    expired.forEach(([memberId]) => known.delete(memberId))
   }
   return {
-    noteUser: (cell, memberId) => {
-      const known = usersOf(cell)
-      forgetStale(known)
-      const last = told.get(cell)
-      if (!known.has(memberId) && last !== undefined) peers.notify(memberId, loadNotice, last)
+    subscribe: (cell, memberId) => {
+      const known = subscribersOf(cell)
+      removeExpired(known)
+      const lastNotice = lastNotices.get(cell)
+      if (!known.has(memberId) && lastNotice !== undefined) peers.notify(memberId, loadNotice, lastNotice)
       known.set(memberId, clock.monotonic())
     },
-    tell: notice => {
-      told.set(notice.cell, notice)
-      const known = usersOf(notice.cell)
-      forgetStale(known)
+    publish: notice => {
+      lastNotices.set(notice.cell, notice)
+      const known = subscribersOf(notice.cell)
+      removeExpired(known)
       known.forEach((_atMs, memberId) => peers.notify(memberId, loadNotice, notice))
     }
   }
--- a/packages/magnoliabay/src/node/cells/loadTimes.ts
+++ b/packages/magnoliabay/src/node/cells/loadTimes.ts
@@ -3,21 +3,21 @@
 
 export interface LoadTimes {
   expectedMs (tier: CheckpointTier, memoryMiB: number): number
-  note (tier: CheckpointTier, memoryMiB: number, tookMs: number): void
+  recordLoad (tier: CheckpointTier, memoryMiB: number, tookMs: number): void
 }
 
 const MIB_PER_GIB = 1024
 /** Before any load was seen, milliseconds for each GiB. */
-const FIRST_GUESS: Readonly<Record<CheckpointTier, number>> = { memory: 20, disk: 80, remote: 250 }
+const INITIAL_MS_PER_GIB: Readonly<Record<CheckpointTier, number>> = { memory: 20, disk: 80, remote: 250 }
 const LEARNING_RATE = 0.2
 
 export function createLoadTimes (): LoadTimes {
-  const msPerGiB = { ...FIRST_GUESS }
+  const msPerGiB = { ...INITIAL_MS_PER_GIB }
   return {
     expectedMs: (tier, memoryMiB) => msPerGiB[tier] * memoryMiB / MIB_PER_GIB,
-    note: (tier, memoryMiB, tookMs) => {
-      const seen = tookMs * MIB_PER_GIB / Math.max(1, memoryMiB)
-      msPerGiB[tier] += LEARNING_RATE * (seen - msPerGiB[tier])
+    recordLoad: (tier, memoryMiB, tookMs) => {
+      const measuredMsPerGiB = tookMs * MIB_PER_GIB / Math.max(1, memoryMiB)
+      msPerGiB[tier] += LEARNING_RATE * (measuredMsPerGiB - msPerGiB[tier])
     }
   }
 }
--- a/packages/magnoliabay/src/node/cells/orderSender.ts
+++ b/packages/magnoliabay/src/node/cells/orderSender.ts
@@ -14,7 +14,7 @@
  * `engine-gone`: the engine has been given up, and with it everything on it. `stopped`: this steward ended; the
  * intent stays recorded for the next.
  */
-export type OrderEnd =
+export type OrderResult =
   | { kind: 'answered', outcome: OrderOutcome }
   | { kind: 'engine-gone' }
   | { kind: 'stopped' }
@@ -26,19 +26,19 @@
   logger: Logger
   isStopped: () => boolean
   /** Whether the engine is still kept in the account. */
-  isKept: (engine: string) => boolean
+  hasAccount: (engine: string) => boolean
 }
 
 export interface OrderSender {
   /** `onSilence` is called when a copy went unanswered, perhaps several times. */
-  carryOut (engine: string, order: Order, onSilence: () => void): Promise<OrderEnd>
+  send (engine: string, order: Order, onUnanswered: () => void): Promise<OrderResult>
   /** The engine's state shows that the order has been carried out, whether or not an answer ever comes. */
-  settle (orderId: string): void
+  markDone (orderId: string): void
 }
 
 /** An answer to an order may take as long as a slow load; a copy unanswered for this long is sent again. */
 const ORDER_TIMEOUT_MS = 60_000
-const RESEND_MS = 1000
+const RESEND_DELAY_MS = 1000
 
 export function createOrderSender (options: OrderSenderOptions): OrderSender {
   const { directory, engines, clock, logger } = options
@@ -49,10 +49,10 @@
     if (listed !== undefined) addresses.set(engine, listed.address)
     return addresses.get(engine)
   }
-  const settled = new Map<string, (end: OrderEnd) => void>()
-  const sendUntilAnswered: OrderSender['carryOut'] = async (engine, order, onSilence) => {
-    while (!options.isStopped() && (settled.has(order.orderId))) {
-      if (!options.isKept(engine)) return { kind: 'engine-gone' }
+  const openOrders = new Map<string, (result: OrderResult) => void>()
+  const sendUntilAnswered: OrderSender['send'] = async (engine, order, onUnanswered) => {
+    while (!options.isStopped() && (openOrders.has(order.orderId))) {
+      if (!options.hasAccount(engine)) return { kind: 'engine-gone' }
       const address = addressOf(engine)
       const reply = address === undefined ? undefined : await engines.order(address, order, ORDER_TIMEOUT_MS)
       if (options.isStopped()) return { kind: 'stopped' }
@@ -61,36 +61,36 @@
         return { kind: 'answered', outcome: reply.val.outcome }
       }
       logger.warn('order-unanswered', { order: order.orderId, action: order.action, engine, reason: reply?.val.message ?? 'no address' })
-      onSilence()
-      if (address !== undefined && await isVisiblyDone(engines, address, order)) return { kind: 'answered', outcome: 'already-done' }
-      await sleep(clock, RESEND_MS)
+      onUnanswered()
+      if (address !== undefined && await isDoneByState(engines, address, order)) return { kind: 'answered', outcome: 'already-done' }
+      await sleep(clock, RESEND_DELAY_MS)
     }
     return { kind: 'stopped' }
   }
   return {
-    settle: orderId => settled.get(orderId)?.({ kind: 'answered', outcome: 'already-done' }),
-    carryOut: async (engine, order, onSilence) => {
-      const seen = new Promise<OrderEnd>(resolve => settled.set(order.orderId, resolve))
-      const end = await Promise.race([sendUntilAnswered(engine, order, onSilence), seen])
-      settled.delete(order.orderId)
-      return end
+    markDone: orderId => openOrders.get(orderId)?.({ kind: 'answered', outcome: 'already-done' }),
+    send: async (engine, order, onUnanswered) => {
+      const markedDone = new Promise<OrderResult>(resolve => openOrders.set(order.orderId, resolve))
+      const result = await Promise.race([sendUntilAnswered(engine, order, onUnanswered), markedDone])
+      openOrders.delete(order.orderId)
+      return result
     }
   }
 }
 
-type Evidence = (state: EngineState, order: Order) => boolean
+type DoneCheck = (state: EngineState, order: Order) => boolean
 
 /** What an engine's state can prove about an unanswered order. That it is *not* there proves nothing: it may still arrive. */
-const EVIDENCE: Partial<Record<Order['action'], Evidence>> = {
+const DONE_CHECKS: Partial<Record<Order['action'], DoneCheck>> = {
   load: (state, order) => state.models.some(held => held.orderId === order.orderId && held.state === 'loaded'),
   'load-adapter': (state, order) => state.adapters.some(held => held.orderId === order.orderId && held.state === 'loaded'),
   'set-role': (state, order) => state.role === order.role,
   'raise-fence': (state, order) => state.checksFence && state.fence === order.fence
 }
 
-async function isVisiblyDone (engines: EngineClient, address: string, order: Order): Promise<boolean> {
-  const evidence = EVIDENCE[order.action]
-  if (evidence === undefined) return false
+async function isDoneByState (engines: EngineClient, address: string, order: Order): Promise<boolean> {
+  const isDone = DONE_CHECKS[order.action]
+  if (isDone === undefined) return false
   const state = await engines.state(address)
-  return state.ok && evidence(state.val, order)
+  return state.ok && isDone(state.val, order)
 }
--- a/packages/magnoliabay/src/node/cells/pendingDemand.ts
+++ b/packages/magnoliabay/src/node/cells/pendingDemand.ts
@@ -3,74 +3,74 @@
  * nobody has repeated it for a while, so that nothing is loaded for callers who have left.
  */
 
-export interface Want {
+export interface ModelDemand {
   model: string
   sinceMs: number
   /** When the most urgent who waits gives up, monotonic milliseconds. */
   deadlineMs: number
   weight: number
   waiting: number
-  lapsesMs: number
+  expiresAtMs: number
   /** Adapters of the model that are waited for. */
   adapters: Set<string>
   /** Nobody waits: a use is expected. */
-  isAhead: boolean
+  isPredicted: boolean
   /** Not tried again before, monotonic milliseconds. */
   notBeforeMs: number
 }
 
-export interface WantRequest {
+export interface DemandUpdate {
   model: string
   adapters: readonly string[]
   waiting: number
   patienceMs: number
   weight: number
-  isAhead?: boolean
+  isPredicted?: boolean
 }
 
 /** Entry instances repeat their demand more often than this. */
-const LAPSE_MS = 3000
+const DEMAND_TTL_MS = 3000
 
-export interface Wants {
-  add (req: WantRequest, nowMs: number): Want
+export interface PendingDemand {
+  add (req: DemandUpdate, nowMs: number): ModelDemand
   remove (model: string): void
-  get (model: string): Want | undefined
+  get (model: string): ModelDemand | undefined
   /** Those that stand, most urgent first. */
-  ordered (nowMs: number, expectedMs: (want: Want) => number): Want[]
+  byUrgency (nowMs: number, expectedMs: (want: ModelDemand) => number): ModelDemand[]
 }
 
-export function createWants (): Wants {
-  const wants = new Map<string, Want>()
-  const lapse = (nowMs: number): void => {
-    const lapsed = [...wants.values()].filter(want => want.lapsesMs < nowMs)
-    lapsed.forEach(want => wants.delete(want.model))
+export function createPendingDemand (): PendingDemand {
+  const byModel = new Map<string, ModelDemand>()
+  const removeExpired = (nowMs: number): void => {
+    const expired = [...byModel.values()].filter(demand => demand.expiresAtMs < nowMs)
+    expired.forEach(demand => byModel.delete(demand.model))
   }
   return {
     add: (req, nowMs) => {
-      lapse(nowMs)
-      const known = wants.get(req.model)
-      const want: Want = {
+      removeExpired(nowMs)
+      const known = byModel.get(req.model)
+      const demand: ModelDemand = {
         model: req.model,
         sinceMs: known?.sinceMs ?? nowMs,
         deadlineMs: Math.min(known?.deadlineMs ?? Infinity, nowMs + req.patienceMs),
         weight: Math.max(known?.weight ?? 0, req.weight),
         waiting: Math.max(known?.waiting ?? 0, req.waiting),
-        lapsesMs: nowMs + LAPSE_MS,
+        expiresAtMs: nowMs + DEMAND_TTL_MS,
         adapters: known?.adapters ?? new Set(),
-        isAhead: (known?.isAhead ?? true) && req.isAhead === true,
+        isPredicted: (known?.isPredicted ?? true) && req.isPredicted === true,
         notBeforeMs: known?.notBeforeMs ?? 0
       }
-      if (want.deadlineMs <= nowMs) want.deadlineMs = nowMs + req.patienceMs
-      req.adapters.forEach(adapter => want.adapters.add(adapter))
-      wants.set(req.model, want)
-      return want
+      if (demand.deadlineMs <= nowMs) demand.deadlineMs = nowMs + req.patienceMs
+      req.adapters.forEach(adapter => demand.adapters.add(adapter))
+      byModel.set(req.model, demand)
+      return demand
     },
-    remove: model => { wants.delete(model) },
-    get: model => wants.get(model),
-    ordered: (nowMs, expectedMs) => {
-      lapse(nowMs)
-      return [...wants.values()]
-        .filter(want => want.notBeforeMs <= nowMs)
+    remove: model => { byModel.delete(model) },
+    get: model => byModel.get(model),
+    byUrgency: (nowMs, expectedMs) => {
+      removeExpired(nowMs)
+      return [...byModel.values()]
+        .filter(demand => demand.notBeforeMs <= nowMs)
         .sort((left, right) => compareUrgency(left, right, nowMs, expectedMs))
     }
   }
@@ -81,8 +81,8 @@
  * their weight; then those who will be late anyway; then what nobody waits for yet. A long load counts against
  * a want, but the less the more wait for it: else the large model that everybody calls is loaded last.
  */
-function compareUrgency (left: Want, right: Want, nowMs: number, expectedMs: (want: Want) => number): number {
-  const rank = (want: Want): number => want.isAhead ? 2 : want.deadlineMs - nowMs < expectedMs(want) ? 1 : 0
-  const slack = (want: Want): number => (want.deadlineMs - want.sinceMs) / want.weight + want.sinceMs + expectedMs(want) / Math.max(1, want.waiting)
+function compareUrgency (left: ModelDemand, right: ModelDemand, nowMs: number, expectedMs: (demand: ModelDemand) => number): number {
+  const rank = (demand: ModelDemand): number => demand.isPredicted ? 2 : demand.deadlineMs - nowMs < expectedMs(demand) ? 1 : 0
+  const slack = (demand: ModelDemand): number => (demand.deadlineMs - demand.sinceMs) / demand.weight + demand.sinceMs + expectedMs(demand) / Math.max(1, demand.waiting)
   return rank(left) - rank(right) || slack(left) - slack(right)
 }
--- a/packages/magnoliabay/src/node/cells/placement.ts
+++ b/packages/magnoliabay/src/node/cells/placement.ts
@@ -15,7 +15,7 @@
   model: string
   memoryMiB: number
   accounts: readonly EngineAccount[]
-  times: LoadTimes
+  loadTimes: LoadTimes
   /** Wait for a turn at the weight store, milliseconds. */
   storeWaitMs: number
   /** Whether a model may go now, such as one that nobody waits for or uses. */
@@ -28,8 +28,8 @@
 }
 
 /** Penalty for a second replica in the same failure domain, milliseconds. */
-const SAME_DOMAIN_MS = 5000
-const UNLOAD_MS = 50
+const SAME_DOMAIN_PENALTY_MS = 5000
+const EXPECTED_UNLOAD_MS = 50
 
 interface Candidate {
   account: EngineAccount
@@ -56,12 +56,12 @@
   if (victims === undefined) return undefined
   const tier = account.tiers.get(req.model) ?? 'remote'
   const storeWaitMs = tier === 'remote' ? req.storeWaitMs : 0
-  const evictMs = victims.length > 0 ? UNLOAD_MS : 0
-  const expectedMs = req.times.expectedMs(tier, req.memoryMiB) + storeWaitMs + evictMs
+  const unloadMs = victims.length > 0 ? EXPECTED_UNLOAD_MS : 0
+  const expectedMs = req.loadTimes.expectedMs(tier, req.memoryMiB) + storeWaitMs + unloadMs
   const evictionCostMs = victims.reduce((sum, victim) => sum + req.evictionCostMs(victim), 0)
   const domain = req.domainOf(account.engine)
-  const domainMs = domain !== undefined && req.usedDomains.has(domain) ? SAME_DOMAIN_MS : 0
-  return { account, tier, victims, expectedMs, costMs: expectedMs + evictionCostMs + domainMs }
+  const domainPenaltyMs = domain !== undefined && req.usedDomains.has(domain) ? SAME_DOMAIN_PENALTY_MS : 0
+  return { account, tier, victims, expectedMs, costMs: expectedMs + evictionCostMs + domainPenaltyMs }
 }
 
 /** The cheapest models that make room, and none more than needed; undefined when they can't. */
--- a/packages/magnoliabay/src/node/cells/replicaLifecycle.ts
+++ b/packages/magnoliabay/src/node/cells/replicaLifecycle.ts
@@ -23,18 +23,18 @@
 })
 
 /** Events that lead a new life to where an engine's state shows that a replica is. */
-const PATHS: Readonly<Record<'loaded' | 'unknown', readonly ReplicaEvent[]>> = {
+const INITIAL_EVENTS: Readonly<Record<'loaded' | 'unknown', readonly ReplicaEvent[]>> = {
   loaded: ['record', 'order', 'confirm'],
   unknown: ['record', 'order', 'silence']
 }
 
-export interface ReplicaLife {
+export interface ReplicaLifecycle {
   state (): ReplicaState
   /** Moves on; false when the event does not apply to the present state, which then stays. */
   send (event: ReplicaEvent): boolean
 }
 
-export function createReplicaLife (from?: 'loaded' | 'unknown'): ReplicaLife {
+export function createReplicaLifecycle (initialState?: 'loaded' | 'unknown'): ReplicaLifecycle {
   const service = interpret(machine, () => {})
   const current = (): ReplicaState => service.machine.current as ReplicaState
   const send = (event: ReplicaEvent): boolean => {
@@ -42,6 +42,6 @@
     service.send(event)
     return current() !== before
   }
-  if (from !== undefined) PATHS[from].forEach(send)
+  if (initialState !== undefined) INITIAL_EVENTS[initialState].forEach(send)
   return { state: current, send }
 }
--- a/packages/magnoliabay/src/node/cells/replicaOps.ts
+++ b/packages/magnoliabay/src/node/cells/replicaOps.ts
@@ -7,10 +7,10 @@
 import { addReplica, dropIfGone, freeMiB } from './engineAccount'
 import type { EngineAccount, Replica } from './engineAccount'
 import type { CellLeaderContext } from './context'
-import type { OrderEnd } from './orderSender'
+import type { OrderResult } from './orderSender'
 import type { Intent } from './records'
 
-export type LoadEnd = 'loaded' | 'refused' | 'not-recorded' | 'stopped'
+export type LoadResult = 'loaded' | 'refused' | 'not-recorded' | 'stopped'
 
 export interface LoadDecision {
   model: string
@@ -22,37 +22,37 @@
 }
 
 export interface ReplicaOps {
-  load (account: EngineAccount, decision: LoadDecision): Promise<LoadEnd>
+  load (account: EngineAccount, decision: LoadDecision): Promise<LoadResult>
   unload (account: EngineAccount, replica: Replica, reason: string): Promise<void>
   /** Changes the version of a loaded replica in place. */
   setVersion (account: EngineAccount, replica: Replica, version: string): Promise<void>
   loadAdapter (account: EngineAccount, adapter: string, model: string, memoryMiB: number): Promise<void>
   unloadAdapter (account: EngineAccount, adapter: string): Promise<void>
   /** Sends an order of an earlier steward again, under its own id, to learn what became of it. */
-  resolve (account: EngineAccount, intent: Intent): Promise<void>
+  resolveIntent (account: EngineAccount, intent: Intent): Promise<void>
 }
 
 type OrderBody = Pick<Intent, 'action' | 'model' | 'adapter' | 'version' | 'memoryMiB'>
 
-const DONE: ReadonlySet<OrderOutcome> = new Set<OrderOutcome>(['done', 'already-done'])
+const DONE_OUTCOMES: ReadonlySet<OrderOutcome> = new Set<OrderOutcome>(['done', 'already-done'])
 
 export function createReplicaOps (ctx: CellLeaderContext): ReplicaOps {
   const { cell, fence, clock, logger, intents } = ctx
 
-  const isDone = (end: OrderEnd): boolean => end.kind === 'answered' && DONE.has(end.outcome)
+  const isDone = (result: OrderResult): boolean => result.kind === 'answered' && DONE_OUTCOMES.has(result.outcome)
   /** Sends and waits; a refused fencing number ends this steward. */
-  const send = async (account: EngineAccount, intent: Intent, onSilence: () => void): Promise<OrderEnd> => {
+  const send = async (account: EngineAccount, intent: Intent, onUnanswered: () => void): Promise<OrderResult> => {
     const { orderId, action, model, adapter, version, memoryMiB } = intent
     const order: Order = { orderId, fence: intent.fence, action, model, adapter, version, memoryMiB }
-    const end = await ctx.sender.carryOut(account.engine, order, onSilence)
+    const result = await ctx.orderSender.send(account.engine, order, onUnanswered)
     account.lastAnswerMs = clock.monotonic()
-    if (end.kind === 'stopped') return end
+    if (result.kind === 'stopped') return result
     intents.forget(orderId)
-    if (end.kind === 'answered' && end.outcome === 'stale-fence' && intent.fence === fence) {
+    if (result.kind === 'answered' && result.outcome === 'stale-fence' && intent.fence === fence) {
       ctx.supersede('an engine refused the fencing number')
       return { kind: 'stopped' }
     }
-    return end
+    return result
   }
   const intentOf = (account: EngineAccount, orderId: string, body: OrderBody): Intent =>
     ({ orderId, cell, fence, engine: account.engine, ...body })
@@ -61,10 +61,10 @@
     if (outcome === 'superseded') ctx.supersede('the steward key names another')
     return (outcome === 'stored' || outcome === 'on-peers') && !ctx.isStopped()
   }
-  const abandon = (account: EngineAccount, replica: Replica, end: LoadEnd): LoadEnd => {
-    replica.life.send('abandon')
+  const abandon = (account: EngineAccount, replica: Replica, result: LoadResult): LoadResult => {
+    replica.lifecycle.send('abandon')
     dropIfGone(account, replica)
-    return end
+    return result
   }
 
   const load: ReplicaOps['load'] = async (account, decision) => {
@@ -77,23 +77,23 @@
     if (freeMiB(account) < 0) return abandon(account, replica, 'refused')
     const intent = intentOf(account, replica.orderId, { action: 'load', model, version, memoryMiB })
     if (!await record(intent)) return abandon(account, replica, ctx.isStopped() ? 'stopped' : 'not-recorded')
-    replica.life.send('record')
-    replica.life.send('order')
+    replica.lifecycle.send('record')
+    replica.lifecycle.send('order')
     const sentMs = clock.monotonic()
-    const end = await send(account, intent, () => replica.life.send('silence'))
+    const result = await send(account, intent, () => replica.lifecycle.send('silence'))
     replica.hasOpenOrder = false
-    if (end.kind === 'stopped') return 'stopped'
-    replica.life.send(isDone(end) ? 'confirm' : 'fail')
+    if (result.kind === 'stopped') return 'stopped'
+    replica.lifecycle.send(isDone(result) ? 'confirm' : 'fail')
     dropIfGone(account, replica)
-    if (!isDone(end)) return 'refused'
+    if (!isDone(result)) return 'refused'
     replica.loadedAtMs = clock.monotonic()
     replica.lastUsedMs = replica.loadedAtMs
-    ctx.times.note(tier, memoryMiB, replica.loadedAtMs - sentMs)
+    ctx.loadTimes.recordLoad(tier, memoryMiB, replica.loadedAtMs - sentMs)
     ctx.publish()
     return 'loaded'
   }
   const unload: ReplicaOps['unload'] = async (account, replica, reason) => {
-    if (!replica.life.send('unload')) return
+    if (!replica.lifecycle.send('unload')) return
     replica.hasOpenOrder = true
     replica.orderId = createId('order')
     logger.info('unload-decided', { model: replica.model, engine: account.engine, order: replica.orderId, reason })
@@ -101,10 +101,10 @@
     ctx.publish()
     const intent = intentOf(account, replica.orderId, { action: 'unload', model: replica.model, memoryMiB: replica.memoryMiB })
     const isRecorded = await record(intent)
-    const end = isRecorded ? await send(account, intent, () => replica.life.send('silence')) : undefined
+    const result = isRecorded ? await send(account, intent, () => replica.lifecycle.send('silence')) : undefined
     replica.hasOpenOrder = false
-    if (end?.kind === 'stopped' || ctx.isStopped()) return
-    replica.life.send(end !== undefined && (isDone(end) || end.kind === 'engine-gone') ? 'remove' : 'confirm')
+    if (result?.kind === 'stopped' || ctx.isStopped()) return
+    replica.lifecycle.send(result !== undefined && (isDone(result) || result.kind === 'engine-gone') ? 'remove' : 'confirm')
     dropIfGone(account, replica)
     ctx.publish()
   }
@@ -112,9 +112,9 @@
     replica.hasOpenOrder = true
     const intent = intentOf(account, createId('order'), { action: 'set-version', model: replica.model, version, memoryMiB: replica.memoryMiB })
     logger.info('version-change-decided', { model: replica.model, engine: account.engine, version, order: intent.orderId })
-    const end = await record(intent) ? await send(account, intent, () => {}) : undefined
+    const result = await record(intent) ? await send(account, intent, () => {}) : undefined
     replica.hasOpenOrder = false
-    if (end === undefined || !isDone(end)) return
+    if (result === undefined || !isDone(result)) return
     replica.version = version
     ctx.publish()
   }
@@ -122,9 +122,9 @@
     const charge = { adapter, model, memoryMiB, isLoaded: false, lastUsedMs: clock.monotonic() }
     account.adapters.set(adapter, charge)
     const intent = intentOf(account, createId('order'), { action: 'load-adapter', model, adapter, memoryMiB })
-    const end = await record(intent) ? await send(account, intent, () => {}) : undefined
-    if (end?.kind === 'stopped' || ctx.isStopped()) return
-    charge.isLoaded = end !== undefined && isDone(end)
+    const result = await record(intent) ? await send(account, intent, () => {}) : undefined
+    if (result?.kind === 'stopped' || ctx.isStopped()) return
+    charge.isLoaded = result !== undefined && isDone(result)
     if (!charge.isLoaded) account.adapters.delete(adapter)
     ctx.publish()
   }
@@ -134,28 +134,28 @@
     charge.isLoaded = false
     ctx.publish()
     const intent = intentOf(account, createId('order'), { action: 'unload-adapter', model: charge.model, adapter, memoryMiB: charge.memoryMiB })
-    const end = await record(intent) ? await send(account, intent, () => {}) : undefined
-    if (end?.kind === 'stopped' || ctx.isStopped()) return
-    if (end !== undefined && isDone(end)) account.adapters.delete(adapter)
+    const result = await record(intent) ? await send(account, intent, () => {}) : undefined
+    if (result?.kind === 'stopped' || ctx.isStopped()) return
+    if (result !== undefined && isDone(result)) account.adapters.delete(adapter)
     else charge.isLoaded = true
     ctx.publish()
   }
-  const resolve: ReplicaOps['resolve'] = async (account, intent) => {
+  const resolve: ReplicaOps['resolveIntent'] = async (account, intent) => {
     const replica = account.replicas.get(intent.model)
     if (replica !== undefined) replica.hasOpenOrder = true
-    const end = await send(account, intent, () => {})
+    const result = await send(account, intent, () => {})
     if (replica !== undefined) replica.hasOpenOrder = false
-    if (end.kind === 'stopped') return
-    if (intent.action === 'load' && replica?.life.state() === 'unknown') replica.life.send(isDone(end) ? 'confirm' : 'fail')
-    if (intent.action === 'unload' && isDone(end)) {
-      replica?.life.send('unload')
-      replica?.life.send('remove')
+    if (result.kind === 'stopped') return
+    if (intent.action === 'load' && replica?.lifecycle.state() === 'unknown') replica.lifecycle.send(isDone(result) ? 'confirm' : 'fail')
+    if (intent.action === 'unload' && isDone(result)) {
+      replica?.lifecycle.send('unload')
+      replica?.lifecycle.send('remove')
     }
     if (replica !== undefined) dropIfGone(account, replica)
-    if (intent.action === 'load-adapter' && !isDone(end)) account.adapters.delete(intent.adapter!)
+    if (intent.action === 'load-adapter' && !isDone(result)) account.adapters.delete(intent.adapter!)
     const adapter = account.adapters.get(intent.adapter ?? '')
     if (intent.action === 'load-adapter' && adapter !== undefined) adapter.isLoaded = true
     ctx.publish()
   }
-  return { load, unload, setVersion, loadAdapter, unloadAdapter, resolve }
+  return { load, unload, setVersion, loadAdapter, unloadAdapter, resolveIntent: resolve }
 }
--- a/packages/magnoliabay/src/node/cells/usageReporter.ts
+++ b/packages/magnoliabay/src/node/cells/usageReporter.ts
@@ -5,43 +5,43 @@
 import type { ReplicaRegistry } from './replicaRegistry'
 import type { CellLeader } from './cellLeader'
 
-export interface UsageOptions {
+export interface UsageReporterOptions {
   peers: Peers
   replicas: ReplicaRegistry
-  stewardOf: (cell: string) => string | undefined
+  leaderOf: (cell: string) => string | undefined
 }
 
-export interface Usage {
-  note (model: string, adapter?: string): void
+export interface UsageReporter {
+  recordUse (model: string, adapter?: string): void
   /** Reports to the given stewards here, and to those elsewhere. */
-  report (here: readonly CellLeader[]): void
+  report (localLeaders: readonly CellLeader[]): void
 }
 
-export function createUsage (options: UsageOptions): Usage {
+export function createUsageReporter (options: UsageReporterOptions): UsageReporter {
   const { peers, replicas } = options
   let models: Record<string, number> = {}
   let adapters: Record<string, number> = {}
-  const pick = (used: Readonly<Record<string, number>>, names: readonly string[]): Record<string, number> =>
+  const countsOf = (used: Readonly<Record<string, number>>, names: readonly string[]): Record<string, number> =>
     Object.fromEntries(names.filter(name => used[name] !== undefined).map(name => [name, used[name]!]))
-  const reportOf = ({ cell, replicas: held }: ReplicaTable): UsageReport => ({
+  const reportOf = ({ cell, replicas: entries }: ReplicaTable): UsageReport => ({
     cell,
-    models: pick(models, held.map(replica => replica.model)),
-    adapters: pick(adapters, held.flatMap(replica => replica.adapters))
+    models: countsOf(models, entries.map(replica => replica.model)),
+    adapters: countsOf(adapters, entries.flatMap(replica => replica.adapters))
   })
-  const send = (report: UsageReport, here: readonly CellLeader[]): void => {
-    const holder = options.stewardOf(report.cell)
-    const local = here.find(steward => steward.cell === report.cell)
-    if (local !== undefined) local.noteUsed(report)
-    else if (holder !== undefined) peers.notify(holder, usageNotice, report)
+  const send = (report: UsageReport, localLeaders: readonly CellLeader[]): void => {
+    const leaderId = options.leaderOf(report.cell)
+    const local = localLeaders.find(leader => leader.cell === report.cell)
+    if (local !== undefined) local.recordUsage(report)
+    else if (leaderId !== undefined) peers.notify(leaderId, usageNotice, report)
   }
   return {
-    note: (model, adapter) => {
+    recordUse: (model, adapter) => {
       models[model] = (models[model] ?? 0) + 1
       if (adapter !== undefined) adapters[adapter] = (adapters[adapter] ?? 0) + 1
     },
-    report: here => {
+    report: localLeaders => {
       const reports = replicas.tables().map(reportOf).filter(report => Object.keys(report.models).length > 0)
-      reports.forEach(report => send(report, here))
+      reports.forEach(report => send(report, localLeaders))
       models = {}
       adapters = {}
     }
--- a/packages/magnoliabay/src/node/cells/weightStoreShare.ts
+++ b/packages/magnoliabay/src/node/cells/weightStoreShare.ts
@@ -16,60 +16,60 @@
 export const storeShareCall = definePeerCall<string, StoreShare>('cells.store-share')
 
 /** A cell that has not asked for this long loads nothing. */
-const ACTIVE_MS = 5000
+const SHARE_TTL_MS = 5000
 /** How often a cell that loads asks for its part. */
-const ASK_PERIOD_MS = 1000
+const SHARE_REQUEST_INTERVAL_MS = 1000
 
-export interface ShareKeeper {
-  shareOf (cell: string): StoreShare
+export interface StoreShareAllocator {
+  allocate (cell: string): StoreShare
 }
 
-export function createShareKeeper (clock: Clock, total: () => StoreShare): ShareKeeper {
-  const askedMs = new Map<string, number>()
+export function createStoreShareAllocator (clock: Clock, capacity: () => StoreShare): StoreShareAllocator {
+  const requestedAtMs = new Map<string, number>()
   return {
-    shareOf: cell => {
-      askedMs.set(cell, clock.monotonic())
-      const active = [...askedMs.values()].filter(atMs => clock.monotonic() - atMs <= ACTIVE_MS).length
-      const { slots, perSecond } = total()
+    allocate: cell => {
+      requestedAtMs.set(cell, clock.monotonic())
+      const active = [...requestedAtMs.values()].filter(atMs => clock.monotonic() - atMs <= SHARE_TTL_MS).length
+      const { slots, perSecond } = capacity()
       return { slots: Math.max(1, Math.floor(slots / active)), perSecond: perSecond / active }
     }
   }
 }
 
-export interface ShareHolder {
+export interface StoreShareClient {
   /** The part to go by now. */
   current (): StoreShare
   /** The cell loads, or would like to. */
-  noteWanting (): void
+  recordDemand (): void
 }
 
-export interface ShareHolderOptions {
+export interface StoreShareClientOptions {
   clock: Clock
   cells: number
-  total: () => StoreShare
+  capacity: () => StoreShare
   /** Undefined when the keeper did not answer. */
-  ask: () => Promise<StoreShare | undefined>
+  request: () => Promise<StoreShare | undefined>
 }
 
 /** Without an answer a cell takes an equal part of all cells, but one load at least. */
-export function createShareHolder (options: ShareHolderOptions): ShareHolder {
-  const { clock, cells, total } = options
+export function createStoreShareClient (options: StoreShareClientOptions): StoreShareClient {
+  const { clock, cells, capacity } = options
   let granted: StoreShare | undefined
-  let grantedMs = -Infinity
-  let nextAskMs = -Infinity
-  const least = (): StoreShare => ({ slots: Math.max(1, Math.floor(total().slots / cells)), perSecond: total().perSecond / cells })
-  const ask = async (): Promise<void> => {
-    nextAskMs = clock.monotonic() + ASK_PERIOD_MS
-    granted = await options.ask()
-    if (granted !== undefined) grantedMs = clock.monotonic()
+  let grantedAtMs = -Infinity
+  let nextRequestMs = -Infinity
+  const fallbackShare = (): StoreShare => ({ slots: Math.max(1, Math.floor(capacity().slots / cells)), perSecond: capacity().perSecond / cells })
+  const refresh = async (): Promise<void> => {
+    nextRequestMs = clock.monotonic() + SHARE_REQUEST_INTERVAL_MS
+    granted = await options.request()
+    if (granted !== undefined) grantedAtMs = clock.monotonic()
   }
   return {
     current: () => {
-      if (cells === 1) return total()
-      return granted !== undefined && clock.monotonic() - grantedMs <= ACTIVE_MS ? granted : least()
+      if (cells === 1) return capacity()
+      return granted !== undefined && clock.monotonic() - grantedAtMs <= SHARE_TTL_MS ? granted : fallbackShare()
     },
-    noteWanting: () => {
-      if (cells > 1 && clock.monotonic() >= nextAskMs) ask()
+    recordDemand: () => {
+      if (cells > 1 && clock.monotonic() >= nextRequestMs) refresh()
     }
   }
 }
