--- a/packages/magnoliabay/src/node/cells/adapterLoader.ts
+++ b/packages/magnoliabay/src/node/cells/adapterLoader.ts
@@ -1,4 +1,4 @@
-/** Loads the adapters that are waited for, wherever their model is loaded, within the cell's share of loads in flight. */
+/** Loads adapters that requests wait for on engines that have their model, within the cell's limit of loads in flight. */
 import type { AdapterConfig } from '../config/fleet'
 import { freeMiB } from './engineAccount'
 import type { AdapterCharge, EngineAccount } from './engineAccount'
@@ -42,7 +42,7 @@
       load(account, adapter)
       return
     }
-    // Room comes with the confirmed unload; the want stands and is looked at again then.
+    // The unload frees memory once it is confirmed; the demand is still pending and is tried again then.
     const victim = leastRecentlyUsed(account)
     if (victim !== undefined) ops.unloadAdapter(account, victim.adapter).then(reconcile)
   }
--- a/packages/magnoliabay/src/node/cells/autoscaler.ts
+++ b/packages/magnoliabay/src/node/cells/autoscaler.ts
@@ -1,4 +1,4 @@
-/** Reads the engines' lagging load reports, tells them to everybody, and says how many replicas the load needs. */
+/** Reads the load of the engines periodically, publishes it, and computes how many replicas each model needs. */
 import { loadedReplicas } from './engineAccount'
 import type { EngineAccount } from './engineAccount'
 import type { CellLeaderContext } from './context'
@@ -10,14 +10,14 @@
 
 export interface Autoscaler {
   maintain (): void
-  /** Replicas that the present load of the model asks for, at least one. */
+  /** Number of replicas that the current load of the model needs, at least one. */
   targetReplicas (model: string): number
 }
 
 const LOAD_READ_INTERVAL_MS = 2000
-/** Requests for each replica above which another one is wanted. */
+/** Requests per replica above which a further replica is needed. */
 const SCALE_UP_REQUESTS_PER_REPLICA = 16
-/** Reports in a row that must ask for more: one alone may be a burst that is over. */
+/** Consecutive readings that must exceed the bound: a single one may be a burst that has ended. */
 const SCALE_UP_REPORTS = 2
 
 export function createAutoscaler (options: AutoscalerOptions): Autoscaler {
@@ -40,7 +40,7 @@
   }
   const replicasOf = (model: string): EngineAccount[] =>
     [...accounts.values()].filter(account => account.replicas.get(model)?.lifecycle.state() === 'loaded')
-  /** Load of an engine is shared by its models in equal parts, for want of anything better. */
+  /** Divides the load of an engine equally among its models: engines report no load by model. */
   const loadOf = (model: string): number => replicasOf(model).reduce((sum, account) =>
     sum + account.load / Math.max(1, loadedReplicas(account).length), 0)
   const updateTarget = (model: string): void => {
--- a/packages/magnoliabay/src/node/cells/cellLeader.ts
+++ b/packages/magnoliabay/src/node/cells/cellLeader.ts
@@ -1,5 +1,5 @@
 /**
- * The steward of a cell: it alone decides replicas there, keeps the memory account and sends orders.
+ * The leader of a cell. Only it decides the cell's replicas, keeps its memory accounts and sends orders to its engines.
  */
 import type { BackendDirectory } from '../backend/directory'
 import type { EngineClient } from '../backend/engineClient'
@@ -32,7 +32,7 @@
 
 export interface CellLeaderOptions {
   cell: string
-  /** Modification revision of the steward key when it was claimed. */
+  /** Modification revision of the leader key when it was claimed. */
   fence: number
   store: Store
   directory: BackendDirectory
@@ -41,14 +41,14 @@
   peers: Peers
   clock: Clock
   logger: Logger
-  /** What was known to be loaded in the cell before this steward. */
+  /** Last known replica table of the former leader. */
   previousTable: ReplicaTable | undefined
-  /** Whether every earlier holder is proven gone or has given the cell up. */
+  /** Whether every former leader has provably terminated or has released the cell. */
   areFormerLeadersInactive: () => boolean
-  /** Asks for the cell's part of the weight store; undefined when nobody answered. */
+  /** Requests the cell's share of the weight store. Undefined when there was no answer. */
   requestStoreShare: () => Promise<StoreShare | undefined>
   onTablePublished: (table: ReplicaTable) => void
-  /** The load of the cell's engines has changed. */
+  /** Called when the load of the cell's engines has changed. */
   onLoadsChanged: (notice: LoadNotice) => void
   onSuperseded: (reason: string) => void
 }
@@ -57,18 +57,18 @@
   readonly cell: string
   readonly fence: number
   requestReplica (req: Omit<Demand, 'cell'>): DemandReply
-  /** False when the report names a model that is not loaded here: the sender has an old table. */
+  /** Returns false when the report names a model that is not loaded: the sender has an outdated table. */
   recordUsage (report: UsageReport): boolean
   table (): ReplicaTable
   accounts (): readonly EngineAccount[]
-  /** Intents whose orders may still be under way. */
+  /** Intents whose orders may still be in flight. */
   openIntents (): readonly Intent[]
-  /** Does what is due: looks at engines, loads, unloads. */
+  /** Runs one pass of the control loop: reconciles engines, loads and unloads. */
   maintain (): void
   stop (): void
 }
 
-/** What the weight store gives to all cells together. */
+/** Returns a reader of the weight store's capacity for all cells together. */
 export function weightStoreCapacity (cfg: CellsConfig): () => StoreShare {
   return () => {
     const { fullSpeedLoads, loadsPerSecond } = cfg.active().fleet.weightStore
@@ -76,7 +76,7 @@
   }
 }
 
-/** How often what was learned about gaps is saved. */
+/** How often the history of gaps between uses is saved. */
 const HISTORY_SAVE_INTERVAL_MS = 60_000
 
 export function createCellLeader (options: CellLeaderOptions): CellLeader {
@@ -90,7 +90,7 @@
   let stopped = false
   let nextSaveMs = clock.monotonic() + HISTORY_SAVE_INTERVAL_MS
 
-  /** Replicas on engines that are not taken up yet, as the steward before said: they go on serving meanwhile. */
+  /** Replicas of the former leader on engines that are not taken over yet. They continue to serve. */
   const inheritedEntries = (): ReplicaEntry[] => (options.previousTable?.replicas ?? []).filter(({ engine }) =>
     !accounts.has(engine) && !droppedEngines.has(engine) && directory.engine(engine)?.status === 'live')
   const replicasOf = (account: EngineAccount): ReplicaEntry[] => {
@@ -135,7 +135,7 @@
   const { cells } = cfg.active().fleet
   const storeShareClient = createStoreShareClient({ clock, cells, capacity: weightStoreCapacity(cfg), request: options.requestStoreShare })
   const storeLoadLimiter = createLoadLimiter({ clock, maxConcurrent: () => storeShareClient.current().slots, startsPerSecond: () => storeShareClient.current().perSecond })
-  // Adapters load in milliseconds: no time to ask, and a fixed part is seldom full.
+  // Adapters load in milliseconds, less than a request for a share takes, and a fixed share is seldom exhausted.
   const adapterLoadLimiter = createLoadLimiter({ clock, maxConcurrent: () => Math.max(1, Math.floor(cfg.active().fleet.weightStore.adaptersInFlight / cells)) })
   const autoscaler = createAutoscaler({ ctx, onLoadsChanged: loads => options.onLoadsChanged({ cell, loads }) })
   const scheduler = createScheduler({
@@ -152,7 +152,7 @@
   })
   const idleEviction = createIdleEviction({ ctx, ops, history, pendingDemand, targetReplicas: autoscaler.targetReplicas })
   const adapterLoader = createAdapterLoader({ ctx, ops, pendingDemand, loadLimiter: adapterLoadLimiter })
-  /** What earlier stewards had recorded; undefined while not all of it is known, and nothing may be decided. */
+  /** Intents of former leaders. Undefined until all are known; nothing may be decided before. */
   let isReadingIntents = false
   let inheritedIntents: readonly Intent[] | undefined
   const readInheritedIntents = async (): Promise<void> => {
@@ -207,7 +207,7 @@
       if (cfg.model(req.model) === undefined) return { status: 'unknown-model', reason: 'not in the configuration' }
       pendingDemand.add(req, clock.monotonic())
       history.recordUse(req.model, clock.monotonic())
-      if (inheritedIntents === undefined) return { status: 'queued', reason: 'the steward is taking its cell up' }
+      if (inheritedIntents === undefined) return { status: 'queued', reason: 'the leader is still taking over the cell' }
       scheduler.run()
       adapterLoader.reconcile()
       return statusOf(req.model)
--- a/packages/magnoliabay/src/node/cells/cells.ts
+++ b/packages/magnoliabay/src/node/cells/cells.ts
@@ -1,5 +1,6 @@
 /**
- * Cells on this instance: claims stewardship where it may, and passes demand to stewards.
+ * The cells as seen by this instance: claims the leadership of cells, runs their leaders, and sends demand to the
+ * leaders on other members.
  */
 import type { BackendDirectory } from '../backend/directory'
 import type { EngineClient } from '../backend/engineClient'
@@ -28,9 +29,9 @@
 
 const MAINTENANCE_INTERVAL_MS = 500
 const USAGE_REPORT_INTERVAL_MS = 1000
-/** The member ranked next for a cell waits this much longer before it claims it. */
+/** Each further rank for a cell waits this much longer before it claims the cell. */
 const CLAIM_DELAY_PER_RANK_MS = 2000
-/** Members, as ranked for the cell, that ask again and again whether its steward answers. */
+/** Number of members, in rank order for a cell, that probe its leader even while they are connected to it. */
 const PROBING_RANKS = 2
 
 export interface CellsOptions {
@@ -45,22 +46,22 @@
   logger: Logger
 }
 
-/** What waits at this instance for one model. */
+/** Requests that wait at this instance for one model. */
 export type LocalDemand = Omit<Demand, 'cell'>
 
 export interface Cells {
   readonly replicas: ReplicaRegistry
-  /** Tells the stewards what requests wait for. Any number of calls leads to one load. */
+  /** Asks the cell leaders for a replica of a model. Repeated calls lead to one load. */
   requestReplica (req: LocalDemand): Promise<DemandReply>
-  /** Notes that a model, and an adapter of it, was used, for the stewards' idle decisions. */
+  /** Records a use of a model and adapter. Cell leaders decide about idle replicas by it. */
   recordUse (model: string, adapter?: string): void
   leaderOf (cell: string): string | undefined
-  /** The stewards that run here. */
+  /** The cell leaders that run on this instance. */
   localLeaders (): readonly CellLeader[]
-  /** Load of an engine as its steward last told, requests. */
+  /** Requests that run or wait on an engine, as its cell leader last published. */
   loadOf (engine: string): number
   start (signal: AbortSignal): void
-  /** Gives up what this instance is steward of. */
+  /** Stops the local leaders and releases their cells. */
   resign (): Promise<void>
 }
 
@@ -70,15 +71,18 @@
   const leaderships = new Map<string, Leadership>()
   const claimableSinceMs = new Map<string, number>()
   const localLeaders = new Map<string, CellLeader>()
-  /** Holdings of others that will send nothing any more, by their own word. */
+  /** Former leaderships whose process has confirmed that it sends no more orders. */
   const releasedLeaderships = new Set<string>()
-  /** Up to which fencing number this process has given a cell away: a claim that it learns of late is not taken up. */
+  /**
+   * Highest fencing token under which this process has released each cell. A claim of its own that it learns of only
+   * after the release is ignored.
+   */
   const releasedFences = new Map<string, number>()
   const loads = new Map<string, Readonly<Record<string, number>>>()
   const claimer = createClaimer(store, peers.self)
   const heldIntents = createHeldIntents(peers)
   const loadSubscribers = createLoadSubscribers(peers, clock)
-  /** Cells that a claim is being weighed for: asking others takes longer than a period. */
+  /** Cells with a claim under way. A probe through other members takes longer than one maintenance interval. */
   const claimsInProgress = new Set<string>()
   const reachabilityProbe = createReachabilityProbe(peers)
   const usageReporter = createUsageReporter({ peers, replicas, leaderOf: cell => leaderships.get(cell)?.record?.holder?.id })
@@ -86,7 +90,7 @@
   let isResigning = false
 
   const cellCount = (): number => cfg.active().fleet.cells
-  /** Among those that may claim the cell; the holder that is to be replaced is none of them. */
+  /** Rank of this instance among the members that may claim the cell. Excludes the leader that would be replaced. */
   const ownRank = (cell: string, leader: string | undefined): number => {
     const candidates = peers.members().filter(member => !member.leaving && member.id !== leader).map(member => member.id)
     return rankByRendezvous(cell, candidates, id => id).indexOf(peers.self.id)
@@ -128,8 +132,8 @@
     return true
   }
   /**
-   * Where not everybody holds a link to everybody, a member can't see that a holder far away has gone; so those
-   * who would claim the cell first ask.
+   * Not every member has a link to every other, so a member can't see by itself that a distant leader has failed. The
+   * first members in rank order ask others to probe it.
    */
   const isLeaderUnreachable = async (cell: string, leadership: Leadership): Promise<boolean> => {
     const leader = leadership.record?.holder
@@ -160,7 +164,7 @@
     const claimed = await claimer.claim(cell, leadership, unproven)
     if (claimed !== undefined) setLeadership(cell, claimed)
   }
-  /** Former holders that were only paused say themselves that they act no more. */
+  /** Asks former leaders for a release: one that was only paused confirms that it sends no more orders. */
   const requestUnprovenReleases = (cell: string): void => (leaderships.get(cell)?.record?.unproven ?? [])
     .filter(former => !isInactive(cell, former))
     .forEach(former => { requestRelease(cell, former) })
@@ -204,7 +208,7 @@
     const model = cfg.model(req.model)
     if (model === undefined) return { status: 'unknown-model', reason: 'not in the configuration' }
     const cells = cellsOfModel(req.model, cellCount()).filter(cell => quotaOfCell(model, cell, cellCount()) > 0)
-    let lastReply: DemandReply = { status: 'not-steward', reason: 'no cell has a steward yet' }
+    let lastReply: DemandReply = { status: 'not-steward', reason: 'no cell has a leader yet' }
     for (const cell of cells) {
       const leader = leaderships.get(cell)?.record?.holder
       if (leader === undefined) continue
@@ -216,11 +220,11 @@
     return lastReply
   }
   const handleRelease = ({ cell, incarnation, fence }: ReleaseRequest): ReleaseReply => {
-    // A process that has been restarted since is not the one that is asked.
+    // The request names an earlier process of this member.
     if (incarnation !== peers.self.incarnation) return { released: false, open: [] }
     const leader = localLeaders.get(cell)
     const isCurrent = leader !== undefined && leader.fence === fence
-    // Its lease stands again, so it goes on: whoever asked has an old view.
+    // The lease is valid again and the store still names this process: the sender has an outdated view.
     if (isCurrent && membership.leaseId() !== undefined && isOwnLeadership(cell)) return { released: false, open: [] }
     releasedFences.set(cell, Math.max(fence, releasedFences.get(cell) ?? 0))
     if (!isCurrent) return { released: true, open: [] }
@@ -231,13 +235,13 @@
   }
   const isOwnLeadership = (cell: string): boolean => leaderships.get(cell)?.record?.holder?.incarnation === peers.self.incarnation
 
-  peers.serve(demandCall, req => localLeaders.get(req.cell)?.requestReplica(req) ?? { status: 'not-steward', reason: 'not steward here' })
+  peers.serve(demandCall, req => localLeaders.get(req.cell)?.requestReplica(req) ?? { status: 'not-steward', reason: 'this instance does not lead the cell' })
   peers.serve(releaseCall, handleRelease)
   peers.serve(tablesCall, () => replicas.tables())
   peers.listen(tableNotice, replicas.applyTable)
   peers.listen(loadNotice, notice => { loads.set(notice.cell, notice.loads) })
   peers.serve(storeShareCall, storeShareAllocator.allocate)
-  /** A notice of a table may be lost, and an unload with it: whoever goes by an old table is told the new one. */
+  /** A table notice may be lost, and with it an unload. A member that reports by an outdated table gets the current one. */
   peers.listen(usageNotice, (report, from) => {
     const leader = localLeaders.get(report.cell)
     if (leader !== undefined) loadSubscribers.subscribe(report.cell, from.id)
--- a/packages/magnoliabay/src/node/cells/claim.ts
+++ b/packages/magnoliabay/src/node/cells/claim.ts
@@ -1,6 +1,6 @@
 /**
- * Who may become steward of a cell, and the claim itself. Time alone never makes a steward: a holder whose lease
- * has lapsed may be paused, and wakes up believing that it still holds the cell.
+ * Decides whether this member may claim the leadership of a cell, and claims it. An expired lease alone is not enough:
+ * its leader may be paused, and resume in the belief that it still leads the cell.
  */
 import type { TerminationProofs, MemberRecord, ProcessId } from '../members'
 import type { Store } from '../store'
@@ -8,7 +8,7 @@
 import { cellLeaderKey } from './records'
 import type { FormerLeader, CellLeaderRecord } from './records'
 
-/** The steward key as last seen; revision 0 when there is none. */
+/** Last known value of the leader key. The revision is 0 when the key does not exist. */
 export interface Leadership {
   record: CellLeaderRecord | undefined
   modRevision: number
@@ -17,11 +17,12 @@
 export const NO_LEADERSHIP: Leadership = { record: undefined, modRevision: 0 }
 
 /**
- * `held`: leave it alone. Waiting for the lease of a holder that died costs every cold start of the cell ten
- * seconds; where the engines check fencing numbers, that no member reaches it is reason enough, since a
- * holder that lives after all is refused by the engines and sees the key change hands.
- * `free`: nobody can act for the cell any more. `fence`: the holder may be paused; a new steward may act on
- * engines that check fencing numbers, and leaves the others alone. `ask`: only the holder's consent helps.
+ * `held`: the cell must not be claimed.
+ * `free`: no process can send orders for the cell any more.
+ * `fence`: the leader may be paused or unreachable. A new leader may use engines that check fencing tokens, but not the
+ * others. Without this, every cold start in the cell would wait ten seconds for the lease of a terminated leader to
+ * expire. It is safe because a leader that still runs is refused by the engines, and sees the key change.
+ * `ask`: the cell may be claimed only if its leader releases it.
  */
 export type ClaimDecision =
   | { kind: 'free', reason: string, unproven: readonly FormerLeader[] }
@@ -33,11 +34,11 @@
   leadership: Leadership
   self: MemberRecord
   proofs: TerminationProofs
-  /** Whether the holder's record still stands in the store. */
+  /** Whether the store still has the leader's member record. */
   isRegistered: (process: ProcessId) => boolean
-  /** Whether any engine of the cell refuses orders with an old fencing number. */
+  /** Whether any engine of the cell refuses orders with an outdated fencing token. */
   hasFencedEngines: boolean
-  /** Whether no member gets an answer from the holder. */
+  /** Whether no member gets an answer from the leader. */
   isLeaderUnreachable: boolean
 }
 
@@ -45,27 +46,27 @@
   const { leadership, self, proofs } = conditions
   const leader = leadership.record?.holder
   const unproven = (leadership.record?.unproven ?? []).filter(process => proofs.proofFor(process) === undefined)
-  if (leader === undefined) return { kind: 'free', reason: leadership.record === undefined ? 'never held' : 'given up', unproven }
-  if (leader.incarnation === self.incarnation) return { kind: 'free', reason: 'held by this process before', unproven }
+  if (leader === undefined) return { kind: 'free', reason: leadership.record === undefined ? 'no leader yet' : 'released', unproven }
+  if (leader.incarnation === self.incarnation) return { kind: 'free', reason: 'led by this process before', unproven }
   const process: ProcessId = { member: leader.id, incarnation: leader.incarnation }
   const proof = proofs.proofFor(process)
-  if (proof !== undefined) return { kind: 'free', reason: `the holder is gone: ${proof}`, unproven }
+  if (proof !== undefined) return { kind: 'free', reason: `the leader has terminated: ${proof}`, unproven }
   const isRegistered = conditions.isRegistered(process)
   if (isRegistered && !(conditions.hasFencedEngines && conditions.isLeaderUnreachable)) return { kind: 'held' }
-  const reason = isRegistered ? 'no member reaches the holder' : 'the holder\'s lease has lapsed'
+  const reason = isRegistered ? 'no member reaches the leader' : 'the leader\'s lease has expired'
   if (conditions.hasFencedEngines) return { kind: 'fence', reason, unproven: [...unproven, { ...process, fence: leadership.modRevision }] }
   return { kind: 'ask', leader }
 }
 
 export interface Claimer {
   /**
-   * Claims the cell by compare-and-swap against `holding`. Undefined when another was faster, or when the outcome
-   * is not known: then the watch tells, and {@link isOwn} recognises the claim.
+   * Claims the cell by compare-and-swap against `leadership`. Returns undefined when another member was faster, or
+   * when the outcome is unknown: then the watch delivers the record, and {@link isOwn} recognises the claim.
    */
   claim (cell: string, leadership: Leadership, unproven: readonly FormerLeader[]): Promise<Leadership | undefined>
-  /** Whether the record comes from a claim of this process that has not been taken up yet. */
+  /** Whether the record was written by a claim of this process. */
   isOwn (record: CellLeaderRecord): boolean
-  /** Writes that nobody holds the cell, if this claim still stands. */
+  /** Removes the leader from the record, if the key still has the revision `fence`. */
   release (cell: string, fence: number, unproven: readonly FormerLeader[]): Promise<void>
 }
 
@@ -82,7 +83,7 @@
       }, { priority: 'ownership' })
       if (answer.ok) return answer.val.succeeded ? { record, modRevision: answer.val.revision } : undefined
       if (answer.val.kind !== 'unknown') return undefined
-      // The answer was lost. The claim id tells whether what the key holds now is ours.
+      // The answer was lost. The claim id shows whether the present record is from this claim.
       const found = await store.get(cellLeaderKey(cell), { priority: 'ownership' })
       if (found.err || found.val === undefined) return undefined
       const current = JSON.parse(found.val.value) as CellLeaderRecord
--- a/packages/magnoliabay/src/node/cells/context.ts
+++ b/packages/magnoliabay/src/node/cells/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of one steward share. */
+/** State and services shared by the modules of one cell leader. */
 import type { BackendDirectory } from '../backend/directory'
 import type { EngineClient } from '../backend/engineClient'
 import type { Clock } from '../clock'
@@ -9,12 +9,12 @@
 import type { LoadTimes } from './loadTimes'
 import type { OrderSender } from './orderSender'
 
-/** What cells need of the configuration in force. */
+/** Parts of the active configuration that cells read. */
 export type CellsConfig = Pick<ConfigProvider, 'active' | 'model' | 'adapter'>
 
 export interface CellLeaderContext {
   readonly cell: string
-  /** Modification revision of the steward key when it was claimed. */
+  /** Modification revision of the leader key when it was claimed. */
   readonly fence: number
   readonly clock: Clock
   readonly logger: Logger
@@ -26,8 +26,8 @@
   readonly loadTimes: LoadTimes
   readonly accounts: Map<string, EngineAccount>
   isStopped (): boolean
-  /** Something says that another steward holds the cell: this one ends at once. */
+  /** Stops this leader at once, because another one has claimed the cell. */
   supersede (reason: string): void
-  /** Tells everybody what is loaded. */
+  /** Sends the current replica table to all members. */
   publish (): void
 }
--- a/packages/magnoliabay/src/node/cells/engineAccount.ts
+++ b/packages/magnoliabay/src/node/cells/engineAccount.ts
@@ -1,6 +1,6 @@
 /**
  * The memory account of one engine. Memory is charged before an order to load is sent, and freed only
- * when the engine has confirmed that the model is gone.
+ * when the engine has confirmed that the model is unloaded.
  */
 import type { CheckpointTier, EngineRole } from '../backend/protocol'
 import { createReplicaLifecycle } from './replicaLifecycle'
@@ -11,10 +11,10 @@
   model: string
   version: string
   memoryMiB: number
-  /** The last order about it. */
+  /** Id of the last order for it. */
   orderId: string
   lifecycle: ReplicaLifecycle
-  /** An order about it is under way: its answer, not the engine's state, tells what comes next. */
+  /** An order for it is in flight. Its answer decides the next state, not the state that the engine reports. */
   hasOpenOrder: boolean
   /** Monotonic milliseconds. */
   lastUsedMs: number
@@ -34,22 +34,22 @@
 
 export interface EngineAccount {
   engine: string
-  /** Changes when the engine's process starts anew. */
+  /** Changes when the engine's process restarts. */
   incarnation: string
   memoryMiB: number
   checksFence: boolean
   role: EngineRole
   isLeaving: boolean
-  /** Whether the last question for its state was answered. */
+  /** Whether the last request for its state was answered. */
   isReachable: boolean
-  /** Since when it has been neither listed nor reachable, monotonic milliseconds. */
+  /** Time since which it has been neither listed nor reachable, monotonic milliseconds. */
   missingSinceMs: number | undefined
   replicas: Map<string, Replica>
   adapters: Map<string, AdapterCharge>
   tiers: Map<string, CheckpointTier>
-  /** When the last answer to an order arrived, monotonic milliseconds: a state read before that may be old. */
+  /** Time of the last answer to an order, monotonic milliseconds. A state read before it may be outdated. */
   lastAnswerMs: number
-  /** Requests that run or wait there, by its last load report. */
+  /** Requests that run or wait on the engine, by its last load report. */
   load: number
 }
 
@@ -78,11 +78,11 @@
   memoryMiB: number
   orderId: string
   nowMs: number
-  /** @default a life that begins at `decided` */
+  /** @default `decided` */
   initialState?: 'loaded' | 'unknown'
 }
 
-/** Adds a replica to the account, which charges its memory from now on. */
+/** Adds a replica to the account and charges its memory. */
 export function addReplica (account: EngineAccount, options: ReplicaOptions): Replica {
   const replica: Replica = {
     engine: options.engine,
@@ -100,7 +100,7 @@
   return replica
 }
 
-/** Frees a replica's memory once its life has ended. */
+/** Removes a replica that is in state `gone`, with its adapters, and so frees its memory. */
 export function dropIfGone (account: EngineAccount, replica: Replica): void {
   if (replica.lifecycle.state() !== 'gone') return
   if (account.replicas.get(replica.model) === replica) account.replicas.delete(replica.model)
--- a/packages/magnoliabay/src/node/cells/engineReconciler.ts
+++ b/packages/magnoliabay/src/node/cells/engineReconciler.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the accounts of a cell's engines in step with the engines: takes up those that came, looks at each again
- * and again, and lets go of those that are gone.
+ * Reconciles the accounts of a cell's engines with the engines: takes over listed engines, reads the state of each
+ * periodically, and drops engines that were reclaimed.
  */
 import type { EngineState } from '../backend/protocol'
 import type { ListedInstance } from '../store'
@@ -11,12 +11,12 @@
 import type { Intent } from './records'
 import { adoptModel, applyEngineState, takeOverEngine } from './engineTakeover'
 
-/** How often an engine's state is read. */
+/** Interval between two reads of an engine's state. */
 const STATE_READ_INTERVAL_MS = 2000
 /**
- * An engine is given up when it has been neither in the platform's list nor reachable for this long. The list
- * alone may be wrong by one, and an unreachable engine may still hold its memory; both together, for longer than
- * the list lags, mean that it was reclaimed.
+ * An engine is dropped when it has been neither in the platform's list nor reachable for this long. The list
+ * alone may be wrong by one engine, and an unreachable engine may still hold its memory; both together, for longer than
+ * the list lags, mean that the engine was reclaimed.
  */
 const MISSING_TIMEOUT_MS = 30_000
 const TAKEOVER_RETRY_DELAY_MS = 1000
@@ -24,10 +24,10 @@
 export interface EngineReconcilerOptions {
   ctx: CellLeaderContext
   ops: ReplicaOps
-  /** Engines of this cell that are listed. */
+  /** Engines of this cell in the platform's list. */
   listedEngines: () => readonly ListedInstance[]
   readInheritedIntents: () => ReturnType<Parameters<typeof takeOverEngine>[0]['readInheritedIntents']>
-  /** Recorded by earlier stewards for the engine. */
+  /** Intents that former leaders recorded for the engine. */
   inheritedIntentsOf: (engine: string) => readonly Intent[]
   areFormerLeadersInactive: () => boolean
   onEngineDropped: (engine: string) => void
@@ -54,12 +54,12 @@
       areFormerLeadersInactive: options.areFormerLeadersInactive
     })
     if (ctx.isStopped()) return
-    if (takeover.kind === 'superseded') return ctx.supersede('an engine knows a newer fencing number')
+    if (takeover.kind === 'superseded') return ctx.supersede('an engine has a newer fencing token')
     if (takeover.kind === 'refused') return logger.warn('engine-not-taken-up', { engine: listed.id, reason: takeover.reason })
     accounts.set(listed.id, takeover.account)
     logger.info('engine-taken-up', { engine: listed.id, models: [...takeover.account.replicas.keys()], unresolved: takeover.unresolved.length })
     ctx.publish()
-    // Behind the raised fence, nothing that was ordered before can begin any more.
+    // The engine now refuses all orders of former leaders, so their intents are settled.
     if (takeover.account.checksFence) forgetInheritedIntents(listed.id)
     takeover.unresolved.forEach(intent => { ops.resolveIntent(takeover.account, intent) })
   }
@@ -81,22 +81,22 @@
     if (wasReachable && state.err) logger.warn('engine-unreachable', { engine: account.engine, models: [...account.replicas.keys()], reason: state.val.message })
     if (!wasReachable && state.ok) logger.info('engine-reachable', { engine: account.engine })
   }
-  /** True when what is loaded has changed. */
+  /** Applies the state that an engine reports to its account. Returns whether the loaded models have changed. */
   const applyState = (account: EngineAccount, state: EngineState, startedMs: number): boolean => {
     const restarted = state.incarnation !== account.incarnation
     if (restarted) logger.warn('engine-restarted', { engine: account.engine, incarnation: state.incarnation })
     applyEngineState(account, state)
     state.models.filter(held => held.state === 'loaded').forEach(held => ctx.orderSender.markDone(held.orderId))
     if (restarted) account.adapters.clear()
-    // An answer that came in meanwhile is newer than this state.
+    // An answer that arrived during the read is newer than this state.
     if (account.lastAnswerMs >= startedMs && !restarted) return false
     const settled = [...account.replicas.values()].filter(replica => !replica.hasOpenOrder)
-    const hasMoved = settled.map(replica => applyReplicaState(account, replica, state)).some(isMoved => isMoved)
+    const hasChanged = settled.map(replica => applyReplicaState(account, replica, state)).some(isChanged => isChanged)
     const foreign = state.models.filter(held => !account.replicas.has(held.model))
     foreign.forEach(held => adoptModel(account, held, clock.monotonic()))
-    return hasMoved || foreign.length > 0 || restarted
+    return hasChanged || foreign.length > 0 || restarted
   }
-  /** Follows what the engine says about a replica that no order is under way for. */
+  /** Applies the state that an engine reports to a replica without an order in flight. */
   const applyReplicaState = (account: EngineAccount, replica: Replica, state: EngineState): boolean => {
     const held = state.models.find(model => model.model === replica.model)
     if (held?.state === 'loaded') return replica.lifecycle.send('confirm')
@@ -142,7 +142,7 @@
   }
 }
 
-/** Whether requests may be sent there. */
+/** Whether requests may be sent to the engine. */
 export function isUsable (account: EngineAccount): boolean {
   return account.isReachable && !account.isLeaving
 }
--- a/packages/magnoliabay/src/node/cells/engineTakeover.ts
+++ b/packages/magnoliabay/src/node/cells/engineTakeover.ts
@@ -1,6 +1,6 @@
 /**
- * Taking an engine up: the fence is raised first, then the state is read, and only then may anything be
- * decided there. In any other order, an earlier steward's order could take effect after the state was read.
+ * Takes over an engine for a new leader: first raises the fence, then reads the state; only then may replicas be decided
+ * there. In any other sequence, an order of a former leader could take effect after the state was read.
  */
 import type { EngineClient } from '../backend/engineClient'
 import type { EngineState, LoadedModel } from '../backend/protocol'
@@ -20,9 +20,9 @@
   fence: number
   nowMs: number
   engines: EngineClient
-  /** Orders of earlier stewards that may still arrive, or undefined while they are not all known. */
+  /** Reads the intents of former leaders. Undefined while not all of them are known. */
   readInheritedIntents: () => Promise<readonly Intent[] | undefined>
-  /** Whether every earlier steward is proven gone or has given the cell up. */
+  /** Whether every former leader has provably terminated or has released the cell. */
   areFormerLeadersInactive: () => boolean
 }
 
@@ -34,7 +34,7 @@
   if (raised.ok && raised.val.outcome === 'stale-fence') return { kind: 'superseded' }
   const state = await engines.state(listed.address)
   if (state.err) return { kind: 'refused', reason: state.val.message }
-  // Where the answer was lost, the state shows whether the fence is up; where fences are ignored, it need not be.
+  // If the answer was lost, the state shows whether the fence was raised. Engines that ignore fences need none.
   if (raised.err && state.val.checksFence && state.val.fence < req.fence) return { kind: 'refused', reason: raised.val.message }
   const account = accountFromState(state.val, req.nowMs)
   if (state.val.checksFence && state.val.fence > req.fence) return { kind: 'superseded' }
@@ -43,14 +43,14 @@
 }
 
 /**
- * An engine that ignores fencing numbers would carry out an order of an earlier steward even now. So that
- * steward must not be able to send any more, and each of its intents is charged and sent again under its own
- * id: the answer tells what became of it, and a late copy of it then does nothing.
+ * Takes over an engine that ignores fencing tokens. It would still carry out an order of a former leader, so no former
+ * leader may be able to send any more. Each of their intents is charged and then resent under its original id: the
+ * answer gives its outcome, and a late copy of it then has no effect.
  */
 async function takeOverUnfenced (req: EngineTakeoverRequest, account: EngineAccount): Promise<EngineTakeover> {
-  if (!req.areFormerLeadersInactive()) return { kind: 'refused', reason: 'ignores fencing, and an earlier steward may still act' }
+  if (!req.areFormerLeadersInactive()) return { kind: 'refused', reason: 'ignores fencing tokens, and a former leader may still send orders' }
   const intents = await req.readInheritedIntents()
-  if (intents === undefined) return { kind: 'refused', reason: 'too few members answered about intents' }
+  if (intents === undefined) return { kind: 'refused', reason: 'too few members answered to know all intents' }
   const inherited = intents.filter(intent => intent.engine === account.engine)
   inherited.filter(intent => intent.action === 'load' && !account.replicas.has(intent.model)).forEach(intent =>
     addReplica(account, { ...intent, nowMs: req.nowMs, initialState: 'unknown' }))
@@ -73,7 +73,7 @@
   return account
 }
 
-/** Takes over what an engine says about itself, but for what it holds. */
+/** Copies the properties that an engine reports to its account, but not its models and adapters. */
 export function applyEngineState (account: EngineAccount, state: EngineState): void {
   account.incarnation = state.incarnation
   account.memoryMiB = state.memoryMiB
@@ -83,7 +83,7 @@
   account.tiers = new Map(state.checkpoints.map(({ model, tier }) => [model, tier]))
 }
 
-/** Charges a model that the engine holds. One that is not loaded yet, or not unloaded yet, is looked at again. */
+/** Charges a model that the engine reports. Its state is `unknown` while it is loading or unloading. */
 export function adoptModel (account: EngineAccount, held: LoadedModel, nowMs: number): void {
   addReplica(account, {
     engine: account.engine,
--- a/packages/magnoliabay/src/node/cells/idleEviction.ts
+++ b/packages/magnoliabay/src/node/cells/idleEviction.ts
@@ -1,4 +1,4 @@
-/** Lets go of what nobody calls, and wakes ahead what is about to be called. */
+/** Unloads idle replicas and adapters, and preloads models whose next use is expected soon. */
 import type { ModelConfig } from '../config/fleet'
 import { freeMiB, loadedReplicas } from './engineAccount'
 import type { EngineAccount, Replica } from './engineAccount'
@@ -20,11 +20,11 @@
   maintain (): void
 }
 
-/** An adapter unused for this long is unloaded: loading it again takes milliseconds. */
+/** An adapter unused for this long is unloaded. Loading it again takes milliseconds. */
 const ADAPTER_IDLE_TIMEOUT_MS = 120_000
-/** A replica beyond what the load needs is kept for this long. */
+/** A replica beyond those that the load needs is kept for this long after its load. */
 const SURPLUS_RETENTION_MS = 60_000
-/** Woken this much before it is needed, beyond the time of the load. */
+/** A model is preloaded this much earlier than its expected load time requires. */
 const PRELOAD_MARGIN_MS = 1000
 const PRELOAD_PATIENCE_MS = 60_000
 
@@ -76,7 +76,7 @@
     const idle = [...account.adapters.values()].filter(adapter => adapter.isLoaded && clock.monotonic() - adapter.lastUsedMs > ADAPTER_IDLE_TIMEOUT_MS)
     idle.forEach(adapter => { ops.unloadAdapter(account, adapter.adapter) })
   })
-  /** Only into free memory: nobody who is there now has to go for a guess. */
+  /** Adds demand for a model that is expected to be used soon, if it fits into free memory: evicts nothing for a prediction. */
   const preload = (model: ModelConfig): void => {
     const prediction = predictionOf(model.name)
     if (prediction === undefined || !isUseImminent(prediction.atMs, prediction.spreadMs, model.memoryMiB)) return
--- a/packages/magnoliabay/src/node/cells/index.ts
+++ b/packages/magnoliabay/src/node/cells/index.ts
@@ -1,4 +1,4 @@
-/** Cells of engines and their stewards. */
+/** Cells: groups of engines, each with one leader that decides its replicas. */
 export { createCells } from './cells'
 export type { Cells, LocalDemand } from './cells'
 export type { ReplicaRegistry } from './replicaRegistry'
--- a/packages/magnoliabay/src/node/cells/inheritedReplicas.ts
+++ b/packages/magnoliabay/src/node/cells/inheritedReplicas.ts
@@ -1,17 +1,17 @@
 /**
- * Replicas on engines that this steward has not reached yet: those that an earlier one said are loaded, and those
- * whose load it had recorded. They may be there, or still come, so they count, or another replica would be loaded
- * beyond what was decided.
+ * Replicas on engines that this leader has not taken over yet: those in the table of the former leader, and those whose
+ * load it had recorded. They may exist, or still be loaded, so they count against the quota; otherwise more replicas
+ * than allowed could be loaded.
  */
 import type { Clock } from '../clock'
 import type { Intent, ReplicaTable } from './records'
 
 export interface InheritedReplicas {
-  /** Adds the loads that earlier stewards had recorded and not seen answered. */
+  /** Adds the loads that former leaders had recorded and that were not answered. */
   addIntents (intents: readonly Intent[]): void
-  /** Replicas of the model that may be on engines not taken up. */
+  /** Number of replicas of the model that may be on engines not taken over. */
   countOf (model: string): number
-  /** Says which engines have been taken up, and which are listed. */
+  /** Removes the replicas on engines that are taken over, or that have been unlisted for too long. */
   update (isTakenOver: (engine: string) => boolean, isListed: (engine: string) => boolean): void
 }
 
@@ -20,7 +20,7 @@
   model: string
 }
 
-/** As long as an engine that was taken up is kept once it has vanished from the list. */
+/** Same as the time for which the account of an engine missing from the list is kept. */
 const UNLISTED_RETENTION_MS = 30_000
 
 export function createInheritedReplicas (previousTable: ReplicaTable | undefined, clock: Clock): InheritedReplicas {
--- a/packages/magnoliabay/src/node/cells/intents.ts
+++ b/packages/magnoliabay/src/node/cells/intents.ts
@@ -1,6 +1,6 @@
 /**
- * Intents: each order is recorded before it is sent, in the store or, while that is dark, on peers in two
- * other failure domains. Whoever becomes steward next reads them, and charges what may still arrive.
+ * Intents: each order is recorded before it is sent, in the store or, while that is unreachable, on peers in two
+ * other failure domains. The next leader of the cell reads them, and charges the orders that may still arrive.
  */
 import type { Logger } from '../logger'
 import type { MemberRecord, Peers } from '../members'
@@ -8,7 +8,7 @@
 import { dropIntentsNotice, heldIntentsCall, holdIntentCall, intentKey, intentsPrefix, cellLeaderKey } from './records'
 import type { Intent } from './records'
 
-/** `superseded`: another steward holds the cell now. `nowhere`: neither store nor enough peers took it. */
+/** `superseded`: another member leads the cell now. `nowhere`: neither the store nor enough peers recorded it. */
 export type RecordOutcome = 'stored' | 'on-peers' | 'superseded' | 'nowhere'
 
 export interface IntentsOptions {
@@ -21,21 +21,21 @@
 
 export interface Intents {
   record (intent: Intent): Promise<RecordOutcome>
-  /** The order of the intent was answered. */
+  /** Marks the intent as answered, to be deleted. */
   forget (orderId: string): void
-  /** Carries out what `forget` could not do yet. */
+  /** Deletes forgotten intents from the store and from peers. */
   flushDeletes (): Promise<void>
-  /** Intents of earlier stewards, or undefined while too few members have answered to know all. */
+  /** Reads the intents of former leaders. Undefined while too few members answer to know all of them. */
   readInherited (): Promise<readonly Intent[] | undefined>
-  /** Recorded and not forgotten. */
+  /** Intents that are recorded and not forgotten. */
   openIntents (): readonly Intent[]
 }
 
-/** Failure domains, other than the steward's own, that must hold an intent while the store is dark. */
+/** Failure domains, other than the leader's own, that must hold an intent while the store is unreachable. */
 const MIN_PEER_COPIES = 2
-/** A copy is in two domains, so one whole domain may be silent and every intent is still seen. */
+/** Each intent is in two domains, so every intent is found even if one whole domain does not answer. */
 const MAX_SILENT_DOMAINS = 1
-/** Members of one domain that are asked before it counts as silent. */
+/** Members of one domain that are asked in turn until one holds the intent. */
 const MAX_ATTEMPTS_PER_DOMAIN = 3
 const MAX_DELETES_PER_BATCH = 64
 
@@ -51,7 +51,7 @@
     }, { priority: 'ownership' })
     if (answer.ok) return answer.val.succeeded ? 'stored' : 'superseded'
     if (answer.val.kind !== 'unknown') return 'nowhere'
-    // The answer was lost. What a read shows is certain: the key is written by this steward alone.
+    // The answer was lost. A read is conclusive, since only this leader writes the key.
     const found = await store.get(intentKey(cell, intent.orderId), { priority: 'ownership' })
     return found.ok && found.val !== undefined ? 'stored' : 'nowhere'
   }
@@ -60,7 +60,7 @@
     const copies = await Promise.all([...domains.values()].map(members => holdInDomain(intent, members)))
     return copies.filter(held => held).length >= MIN_PEER_COPIES ? 'on-peers' : 'nowhere'
   }
-  /** Asks the domain's members one after another until one holds it. */
+  /** Asks the domain's members in turn until one holds the intent. */
   const holdInDomain = async (intent: Intent, members: readonly MemberRecord[]): Promise<boolean> => {
     for (const member of members.filter(candidate => peers.isConnected(candidate.id)).slice(0, MAX_ATTEMPTS_PER_DOMAIN)) {
       const reply = await peers.call(member.id, holdIntentCall, intent)
@@ -118,15 +118,15 @@
   return domains
 }
 
-/** Most intents held for others; far above what two thousand engines could have open. */
+/** Bound on the intents held for other leaders. Far above the open intents of two thousand engines. */
 const MAX_HELD_INTENTS = 10_000
 
 export interface HeldIntents {
-  /** Fence of the newest steward known of a cell; older ones are refused. */
+  /** Records the fence of the newest known leader of a cell. Intents of older leaders are refused. */
   recordFence (cell: string, fence: number): void
 }
 
-/** Holds intents of other stewards while the store is dark. */
+/** Holds intents of leaders on other members while the store is unreachable. */
 export function createHeldIntents (peers: Peers): HeldIntents {
   const held = new Map<string, Intent>()
   const fences = new Map<string, number>()
--- a/packages/magnoliabay/src/node/cells/keepAlivePolicy.ts
+++ b/packages/magnoliabay/src/node/cells/keepAlivePolicy.ts
@@ -1,13 +1,13 @@
 /**
- * How long a model that nobody calls is kept, decided from its own history of gaps between uses.
+ * Decides how long an idle model is kept loaded, from its own history of gaps between uses.
  *
- * Keeping it through a gap costs accelerator time; letting it go costs whoever calls next a cold start. Without a
- * history, it is kept for as long as one cold start is worth: at most twice the cost of knowing the future
- * (ski rental). With one, the span that would have cost least over the gaps seen is taken.
+ * Keeping it through a gap costs accelerator time; unloading it costs the next request a cold start. Without a
+ * history, it is kept for as long as one cold start is worth: at most twice the cost of the optimum with known future
+ * requests (ski rental). With a history, the time with the lowest cost over the recorded gaps is taken.
  */
 
 export interface KeepAliveOptions {
-  /** Accelerator time that sparing one cold start is worth, milliseconds. */
+  /** Accelerator time that is worth one avoided cold start, milliseconds. */
   coldStartWorthMs: number
   /** @default 15000 */
   minMs?: number
@@ -15,14 +15,14 @@
   maxMs?: number
 }
 
-/** Fewer gaps than this tell nothing. */
+/** With fewer gaps, the history is not used. */
 const MIN_GAPS = 4
 const MAX_GAPS = 64
 const DEFAULT_MIN_MS = 15_000
 const DEFAULT_MAX_MS = 1_800_000
-/** A gap like one seen before may be a little longer. */
+/** A gap like a recorded one may be a little longer. */
 const GAP_MARGIN_RATIO = 1.1
-/** Uses closer together than this are one burst. */
+/** Uses no further apart than this count as one burst, not as a gap. */
 const MAX_BURST_GAP_MS = 2000
 
 export function decideKeepAliveMs (gaps: readonly number[], options: KeepAliveOptions): number {
@@ -34,16 +34,16 @@
   return candidates.reduce((best, candidate) => costOf(candidate) < costOf(best) ? candidate : best)
 }
 
-/** When the next use is expected, if the gaps are regular enough to say. */
+/** Predicted time of the next use. */
 export interface Prediction {
   /** Monotonic milliseconds. */
   atMs: number
-  /** How far off it may be. */
+  /** Expected deviation from `atMs`, milliseconds. */
   spreadMs: number
 }
 
 const MIN_PREDICTION_GAPS = 5
-/** Standard deviation as a share of the mean, above which gaps are not called regular. */
+/** Standard deviation divided by the mean, above which gaps are not regular enough to predict the next use. */
 const MAX_VARIATION_RATIO = 0.15
 
 export function predictNextUse (lastUseMs: number, gaps: readonly number[]): Prediction | undefined {
@@ -55,7 +55,7 @@
   return deviation <= mean * MAX_VARIATION_RATIO ? { atMs: lastUseMs + mean, spreadMs: 2 * deviation } : undefined
 }
 
-/** What is kept in the store, so that the next steward need not learn anew. Wall-clock milliseconds. */
+/** History of a model as kept in the store for the next leader. Wall-clock milliseconds. */
 export interface SavedHistory {
   lastUseAtMs: number
   gaps: readonly number[]
--- a/packages/magnoliabay/src/node/cells/loadLimiter.ts
+++ b/packages/magnoliabay/src/node/cells/loadLimiter.ts
@@ -1,11 +1,11 @@
-/** A cell's part of what all engines share: loads at the weight store, and adapters in flight. */
+/** Limits loads by concurrency and by rate: a cell's share of weight store loads, and of adapter loads in flight. */
 import type { Clock } from '../clock'
 
 export interface LoadLimiterOptions {
   clock: Clock
-  /** At once, as of now. */
+  /** Current limit of concurrent loads. */
   maxConcurrent: () => number
-  /** Begun a second, as of now; no limit when absent. */
+  /** Current limit of loads started per second. No limit when absent. */
   startsPerSecond?: () => number
 }
 
@@ -13,7 +13,7 @@
   hasCapacity (): boolean
   acquire (): void
   release (): void
-  /** Until a slot may be taken, as far as the rate tells; 0 for now. */
+  /** Time until the rate limit allows a load, milliseconds. 0 when it allows one now. */
   waitMs (): number
   inUse (): number
 }
--- a/packages/magnoliabay/src/node/cells/loadSubscribers.ts
+++ b/packages/magnoliabay/src/node/cells/loadSubscribers.ts
@@ -1,6 +1,6 @@
 /**
- * Who is told the load of a cell's engines: the members that send requests there. Told to everybody, the
- * loads of 59 cells that change every two seconds would cost each of 420 members some 300 KB a second.
+ * Publishes the load of a cell's engines to the members that send requests there. If all members got it, the
+ * loads of 59 cells that change every two seconds would cost each of 420 members some 300 KB per second.
  */
 import type { Clock } from '../clock'
 import type { Peers } from '../members'
@@ -8,16 +8,16 @@
 import type { LoadNotice } from './records'
 
 export interface LoadSubscribers {
-  /** The member sends requests to the cell. One that is new is told at once what the others know. */
+  /** Subscribes a member that sends requests to the cell, or renews it. A new subscriber gets the last notice at once. */
   subscribe (cell: string, memberId: string): void
   publish (notice: LoadNotice): void
 }
 
-/** Members report what they use every second; one that was not heard of for this long uses the cell no more. */
+/** Members report their use every second. One without a report for this long no longer uses the cell. */
 const SUBSCRIPTION_TTL_MS = 10_000
 
 export function createLoadSubscribers (peers: Pick<Peers, 'notify'>, clock: Clock): LoadSubscribers {
-  /** When each user of a cell was last heard of, monotonic milliseconds. */
+  /** Time of the last report of each subscriber, by cell and member, monotonic milliseconds. */
   const subscribers = new Map<string, Map<string, number>>()
   const lastNotices = new Map<string, LoadNotice>()
 
--- a/packages/magnoliabay/src/node/cells/loadTimes.ts
+++ b/packages/magnoliabay/src/node/cells/loadTimes.ts
@@ -1,4 +1,4 @@
-/** How long loads take, by where the checkpoint is: learned from those that were seen. */
+/** Estimates load times by checkpoint tier, as a moving average over completed loads. */
 import type { CheckpointTier } from '../backend/protocol'
 
 export interface LoadTimes {
@@ -7,7 +7,7 @@
 }
 
 const MIB_PER_GIB = 1024
-/** Before any load was seen, milliseconds for each GiB. */
+/** Estimates before any load has completed. */
 const INITIAL_MS_PER_GIB: Readonly<Record<CheckpointTier, number>> = { memory: 20, disk: 80, remote: 250 }
 const LEARNING_RATE = 0.2
 
--- a/packages/magnoliabay/src/node/cells/orderSender.ts
+++ b/packages/magnoliabay/src/node/cells/orderSender.ts
@@ -1,7 +1,7 @@
 /**
- * Sends one order until it is answered. The same order id is sent again and again: the engine answers a
- * repeated id with the first outcome and does nothing twice, so an answer to any copy settles them all, and
- * a late or doubled answer changes nothing.
+ * Sends an order until it is answered. Every attempt has the same order id: the engine answers a repeated id with the
+ * first outcome and executes it once, so an answer to any attempt settles all of them, and a late or duplicate answer
+ * has no effect.
  */
 import type { BackendDirectory } from '../backend/directory'
 import type { EngineClient } from '../backend/engineClient'
@@ -11,8 +11,8 @@
 import type { Logger } from '../logger'
 
 /**
- * `engine-gone`: the engine has been given up, and with it everything on it. `stopped`: this steward ended; the
- * intent stays recorded for the next.
+ * `engine-gone`: the engine was dropped, with all its replicas. `stopped`: this leader has stopped; the intent stays
+ * recorded for the next leader.
  */
 export type OrderResult =
   | { kind: 'answered', outcome: OrderOutcome }
@@ -25,18 +25,18 @@
   clock: Clock
   logger: Logger
   isStopped: () => boolean
-  /** Whether the engine is still kept in the account. */
+  /** Whether the leader still has an account of the engine. */
   hasAccount: (engine: string) => boolean
 }
 
 export interface OrderSender {
-  /** `onSilence` is called when a copy went unanswered, perhaps several times. */
+  /** Calls `onUnanswered` after each attempt that was not answered. */
   send (engine: string, order: Order, onUnanswered: () => void): Promise<OrderResult>
-  /** The engine's state shows that the order has been carried out, whether or not an answer ever comes. */
+  /** Ends the sending of an order that has been carried out, as the engine's state shows. */
   markDone (orderId: string): void
 }
 
-/** An answer to an order may take as long as a slow load; a copy unanswered for this long is sent again. */
+/** An answer may take as long as a slow load. After this time without one, the order is sent again. */
 const ORDER_TIMEOUT_MS = 60_000
 const RESEND_DELAY_MS = 1000
 
@@ -80,7 +80,10 @@
 
 type DoneCheck = (state: EngineState, order: Order) => boolean
 
-/** What an engine's state can prove about an unanswered order. That it is *not* there proves nothing: it may still arrive. */
+/**
+ * Checks by action whether an engine's state proves that an unanswered order was carried out. A state without its effect
+ * proves nothing: the order may still arrive.
+ */
 const DONE_CHECKS: Partial<Record<Order['action'], DoneCheck>> = {
   load: (state, order) => state.models.some(held => held.orderId === order.orderId && held.state === 'loaded'),
   'load-adapter': (state, order) => state.adapters.some(held => held.orderId === order.orderId && held.state === 'loaded'),
--- a/packages/magnoliabay/src/node/cells/pendingDemand.ts
+++ b/packages/magnoliabay/src/node/cells/pendingDemand.ts
@@ -1,21 +1,21 @@
 /**
- * What is waited for: all demand for one model, from any number of instances, is one want. It lapses when
- * nobody has repeated it for a while, so that nothing is loaded for callers who have left.
+ * Pending demand, merged per model over all instances. It expires unless an instance repeats it, so that nothing is
+ * loaded for callers that have left.
  */
 
 export interface ModelDemand {
   model: string
   sinceMs: number
-  /** When the most urgent who waits gives up, monotonic milliseconds. */
+  /** Earliest deadline of a waiting request, monotonic milliseconds. */
   deadlineMs: number
   weight: number
   waiting: number
   expiresAtMs: number
-  /** Adapters of the model that are waited for. */
+  /** Adapters of the model that requests wait for. */
   adapters: Set<string>
-  /** Nobody waits: a use is expected. */
+  /** No request waits; a use is predicted. */
   isPredicted: boolean
-  /** Not tried again before, monotonic milliseconds. */
+  /** Earliest time of the next attempt, monotonic milliseconds. */
   notBeforeMs: number
 }
 
@@ -28,15 +28,15 @@
   isPredicted?: boolean
 }
 
-/** Entry instances repeat their demand more often than this. */
+/** Entry instances repeat their demand at shorter intervals. */
 const DEMAND_TTL_MS = 3000
 
 export interface PendingDemand {
   add (req: DemandUpdate, nowMs: number): ModelDemand
   remove (model: string): void
   get (model: string): ModelDemand | undefined
-  /** Those that stand, most urgent first. */
-  byUrgency (nowMs: number, expectedMs: (want: ModelDemand) => number): ModelDemand[]
+  /** Unexpired demand that may be tried now, most urgent first. */
+  byUrgency (nowMs: number, expectedMs: (demand: ModelDemand) => number): ModelDemand[]
 }
 
 export function createPendingDemand (): PendingDemand {
@@ -77,9 +77,9 @@
 }
 
 /**
- * Those who can still be served in time come first, by the time that they have left to begin, shortened by
- * their weight; then those who will be late anyway; then what nobody waits for yet. A long load counts against
- * a want, but the less the more wait for it: else the large model that everybody calls is loaded last.
+ * Sorts demand that can still be met in time first, by its deadline, with the time to it divided by the weight; then
+ * demand that will be late anyway; then predicted demand. The expected load time counts against a model, divided by the
+ * number of waiting requests: otherwise a large model with many requests would be loaded last.
  */
 function compareUrgency (left: ModelDemand, right: ModelDemand, nowMs: number, expectedMs: (demand: ModelDemand) => number): number {
   const rank = (demand: ModelDemand): number => demand.isPredicted ? 2 : demand.deadlineMs - nowMs < expectedMs(demand) ? 1 : 0
--- a/packages/magnoliabay/src/node/cells/placement.ts
+++ b/packages/magnoliabay/src/node/cells/placement.ts
@@ -1,6 +1,6 @@
 /**
- * Which engine should load a model, and what has to go for it: the engine where it is expected to be ready
- * first, counting what evicting others will cost those who call them next.
+ * Chooses the engine to load a model on and the replicas to evict for it: the engine where the model is expected to be
+ * ready first, with the expected cost of later cold starts of the evicted models added.
  */
 import type { CheckpointTier } from '../backend/protocol'
 import { freeMiB, loadedReplicas } from './engineAccount'
@@ -16,13 +16,13 @@
   memoryMiB: number
   accounts: readonly EngineAccount[]
   loadTimes: LoadTimes
-  /** Wait for a turn at the weight store, milliseconds. */
+  /** Time until the rate limit allows a load from the weight store, milliseconds. */
   storeWaitMs: number
-  /** Whether a model may go now, such as one that nobody waits for or uses. */
+  /** Whether a replica may be evicted now: not in use, and no request waits for its model. */
   isEvictable: (replica: Replica) => boolean
-  /** Expected cost of evicting it, milliseconds of somebody's cold start. */
+  /** Expected cost of evicting the replica, milliseconds of a later cold start. */
   evictionCostMs: (replica: Replica) => number
-  /** Failure domains that hold a replica already. */
+  /** Failure domains that already have a replica of the model. */
   usedDomains: ReadonlySet<string>
   domainOf: (engine: string) => string | undefined
 }
@@ -64,7 +64,7 @@
   return { account, tier, victims, expectedMs, costMs: expectedMs + evictionCostMs + domainPenaltyMs }
 }
 
-/** The cheapest models that make room, and none more than needed; undefined when they can't. */
+/** The cheapest replicas whose eviction frees enough memory, and no more than needed. Undefined when none suffice. */
 function chooseVictims (req: PlacementRequest, account: EngineAccount): Replica[] | undefined {
   const missingMiB = req.memoryMiB - freeMiB(account)
   if (missingMiB <= 0) return []
@@ -79,7 +79,7 @@
     gainedMiB += replica.memoryMiB
   }
   if (gainedMiB < missingMiB) return undefined
-  // The greedy choice may hold one that a later, larger one has made unnecessary.
+  // The greedy choice may contain replicas that a later, larger one has made unnecessary.
   return chosen.filter(replica => {
     if (gainedMiB - replica.memoryMiB < missingMiB) return true
     gainedMiB -= replica.memoryMiB
--- a/packages/magnoliabay/src/node/cells/quota.ts
+++ b/packages/magnoliabay/src/node/cells/quota.ts
@@ -1,12 +1,12 @@
 /**
- * How many replicas of a model each cell may decide. The quotas of all cells add up to the model's most, so
- * stewards need no agreement with one another: none can decide what another has decided already.
+ * Quota of replicas of a model for each cell. The quotas of all cells add up to the model's `maxReplicas`, so cell
+ * leaders can decide independently of one another without exceeding it.
  */
 import type { ModelConfig } from '../config/fleet'
 import { rankByRendezvous } from '../utils'
 import { cellNames } from './records'
 
-/** Cells in the order in which demand for the model is brought to them. */
+/** Cells in the order in which demand for the model is sent to them. */
 export function cellsOfModel (model: string, cells: number): string[] {
   return rankByRendezvous(model, cellNames(cells), name => name)
 }
--- a/packages/magnoliabay/src/node/cells/records.ts
+++ b/packages/magnoliabay/src/node/cells/records.ts
@@ -1,4 +1,4 @@
-/** What stewards keep in the store and tell the other members. */
+/** Records that cell leaders keep in the store, and messages between members about cells. */
 import { STORE_KEY_PREFIX } from '../constants'
 import type { OrderAction } from '../backend/protocol'
 import { stableHash } from '../utils'
@@ -21,30 +21,30 @@
   return `${intentsPrefix(cell)}${orderId}`
 }
 
-/** What stewards have learned about gaps between uses. */
+/** Key of the history of gaps between uses. */
 export function historyKey (cell: string): string {
   return `${CELLS_PREFIX}${cell}/history`
 }
 
-/** Kept without a lease: a lapsed lease is no proof that the holder has ended. */
+/** Stored without a lease, because an expired lease does not prove that the leader has terminated. */
 export interface CellLeaderRecord {
-  /** The process that holds the cell; none when it was given up. */
+  /** The process that leads the cell. Absent when the cell was released. */
   holder?: MemberRecord
-  /** Unique for each claim, so that a claim whose answer was lost is recognised. */
+  /** Unique for each claim: identifies a claim whose answer was lost. */
   claimId: string
   /**
-   * Earlier holders that were neither proven gone nor gave the cell up. Engines that ignore fencing numbers
-   * are left alone until these are accounted for.
+   * Former leaders that neither have provably terminated nor have released the cell. Engines that ignore fencing tokens
+   * are not taken over until all of them have.
    */
   unproven: readonly FormerLeader[]
 }
 
-/** A process that held a cell under a fencing number, and may believe that it still does. */
+/** A process that led a cell under a fencing token, and may still act as its leader. */
 export interface FormerLeader extends ProcessId {
   fence: number
 }
 
-/** A decision, recorded before its order is sent. */
+/** An order that a leader has decided on. Recorded before the order is sent. */
 export interface Intent {
   orderId: string
   cell: string
@@ -67,44 +67,44 @@
   adapters: readonly string[]
 }
 
-/** The replicas that a steward says are loaded in its cell. */
+/** The replicas that are loaded in a cell, as published by its leader. */
 export interface ReplicaTable {
   cell: string
-  /** Fencing number of the steward that says so: a table of an older steward never replaces it. */
+  /** Fencing token of the leader that published the table. A table with a lower one never replaces it. */
   fence: number
-  /** Counts up within a fence. */
+  /** Increases with each table of the same fence. */
   version: number
   replicas: readonly ReplicaEntry[]
 }
 
-/** Requests that wait at the sender. */
+/** Requests for one model that wait at the sender. */
 export interface Demand {
   cell: string
   model: string
-  /** Adapters of the model that are waited for. */
+  /** Adapters of the model that requests wait for. */
   adapters: readonly string[]
   waiting: number
-  /** Time that the most urgent of them still has, milliseconds. */
+  /** Time until the earliest deadline among them, milliseconds. */
   patienceMs: number
-  /** Greatest weight of a team that waits. */
+  /** Highest weight among the waiting teams. */
   weight: number
 }
 
 export interface DemandReply {
   status: 'loading' | 'loaded' | 'queued' | 'no-room' | 'not-steward' | 'unknown-model'
   reason: string
-  /** What is loaded, in case the notice of it was lost. */
+  /** The current table, in case its notice was lost. */
   table?: ReplicaTable
 }
 
-/** What the sender has used in a cell since its last report, with the number of requests. */
+/** Number of requests by model and by adapter that the sender has sent to a cell since its last report. */
 export interface UsageReport {
   cell: string
   models: Readonly<Record<string, number>>
   adapters: Readonly<Record<string, number>>
 }
 
-/** Lagging loads of a cell's engines: requests that run or wait, by engine. */
+/** Last read load of a cell's engines: requests that run or wait, by engine. */
 export interface LoadNotice {
   cell: string
   loads: Readonly<Record<string, number>>
@@ -114,16 +114,16 @@
   held: boolean
 }
 
-/** Asks a holder to give the cell up. */
+/** Asks a leader to release the cell. */
 export interface ReleaseRequest {
   cell: string
-  /** Process that is asked. */
+  /** Incarnation of the process that is asked. */
   incarnation: string
-  /** Fencing number of the holding that is asked for. */
+  /** Fencing token of the leadership to release. */
   fence: number
 }
 
-/** `released`: the process will send no order for the cell any more. The reply holds what may still be under way. */
+/** `released`: the process sends no more orders for the cell. `open`: intents whose orders may still be in flight. */
 export interface ReleaseReply {
   released: boolean
   open: readonly Intent[]
@@ -139,7 +139,7 @@
 export const loadNotice = definePeerNotice<LoadNotice>('cells.load')
 export const usageNotice = definePeerNotice<UsageReport>('cells.usage')
 
-/** Cell of an engine: the same on every instance, whatever else is listed. */
+/** Cell of an engine. Depends on the id alone, so it is the same on every instance. */
 export function cellOf (engineId: string, cellCount: number): string {
   return `${CELL_NAME}${stableHash(engineId) % cellCount}`
 }
--- a/packages/magnoliabay/src/node/cells/replicaLifecycle.ts
+++ b/packages/magnoliabay/src/node/cells/replicaLifecycle.ts
@@ -1,5 +1,5 @@
 /**
- * The life of a replica: decided -> recorded -> ordered -> loaded -> unloading -> gone, with `unknown` while an
+ * State machine of a replica: decided -> recorded -> ordered -> loaded -> unloading -> gone, with `unknown` while an
  * order has been sent and not been answered. Memory is charged in every state but `gone`.
  */
 import { createMachine, interpret, state, transition } from 'robot3'
@@ -7,8 +7,8 @@
 export type ReplicaState = 'decided' | 'recorded' | 'ordered' | 'loaded' | 'unloading' | 'unknown' | 'gone'
 
 /**
- * `abandon`: given up before any order was sent. `fail`: the engine answered that it did not load.
- * `lose`: the engine's own account shows that the replica is not there.
+ * `abandon`: cancelled before any order was sent. `fail`: the engine answered that it did not load.
+ * `lose`: the state that the engine reports does not contain the replica.
  */
 export type ReplicaEvent = 'record' | 'order' | 'confirm' | 'fail' | 'silence' | 'unload' | 'remove' | 'lose' | 'abandon'
 
@@ -22,7 +22,7 @@
   gone: state()
 })
 
-/** Events that lead a new life to where an engine's state shows that a replica is. */
+/** Events that bring a new state machine to the state that an engine reports for a replica. */
 const INITIAL_EVENTS: Readonly<Record<'loaded' | 'unknown', readonly ReplicaEvent[]>> = {
   loaded: ['record', 'order', 'confirm'],
   unknown: ['record', 'order', 'silence']
@@ -30,7 +30,7 @@
 
 export interface ReplicaLifecycle {
   state (): ReplicaState
-  /** Moves on; false when the event does not apply to the present state, which then stays. */
+  /** Applies the event. Returns false, and keeps the state, when the event has no transition from it. */
   send (event: ReplicaEvent): boolean
 }
 
--- a/packages/magnoliabay/src/node/cells/replicaOps.ts
+++ b/packages/magnoliabay/src/node/cells/replicaOps.ts
@@ -1,6 +1,6 @@
 /**
- * Carrying a decision out: the memory is charged, the intent recorded, the order sent until it is answered,
- * and only the answer moves the replica on.
+ * Carries out decisions about replicas and adapters. Memory is charged first, then the intent is recorded, then the order
+ * is sent until it is answered. Only the answer changes the state of the replica.
  */
 import type { CheckpointTier, Order, OrderOutcome } from '../backend/protocol'
 import { createId } from '../utils'
@@ -28,7 +28,7 @@
   setVersion (account: EngineAccount, replica: Replica, version: string): Promise<void>
   loadAdapter (account: EngineAccount, adapter: string, model: string, memoryMiB: number): Promise<void>
   unloadAdapter (account: EngineAccount, adapter: string): Promise<void>
-  /** Sends an order of an earlier steward again, under its own id, to learn what became of it. */
+  /** Resends an order of a former leader under its original id, to learn its outcome. */
   resolveIntent (account: EngineAccount, intent: Intent): Promise<void>
 }
 
@@ -40,7 +40,7 @@
   const { cell, fence, clock, logger, intents } = ctx
 
   const isDone = (result: OrderResult): boolean => result.kind === 'answered' && DONE_OUTCOMES.has(result.outcome)
-  /** Sends and waits; a refused fencing number ends this steward. */
+  /** Sends an order and waits for its result. Stops this leader if the engine refuses its fencing token. */
   const send = async (account: EngineAccount, intent: Intent, onUnanswered: () => void): Promise<OrderResult> => {
     const { orderId, action, model, adapter, version, memoryMiB } = intent
     const order: Order = { orderId, fence: intent.fence, action, model, adapter, version, memoryMiB }
@@ -49,7 +49,7 @@
     if (result.kind === 'stopped') return result
     intents.forget(orderId)
     if (result.kind === 'answered' && result.outcome === 'stale-fence' && intent.fence === fence) {
-      ctx.supersede('an engine refused the fencing number')
+      ctx.supersede('an engine refused the fencing token')
       return { kind: 'stopped' }
     }
     return result
@@ -58,7 +58,7 @@
     ({ orderId, cell, fence, engine: account.engine, ...body })
   const record = async (intent: Intent): Promise<boolean> => {
     const outcome = await intents.record(intent)
-    if (outcome === 'superseded') ctx.supersede('the steward key names another')
+    if (outcome === 'superseded') ctx.supersede('the leader key has changed')
     return (outcome === 'stored' || outcome === 'on-peers') && !ctx.isStopped()
   }
   const abandon = (account: EngineAccount, replica: Replica, result: LoadResult): LoadResult => {
@@ -73,7 +73,7 @@
     replica.hasOpenOrder = true
     logger.info('replica-decided', { model, engine: account.engine, order: replica.orderId, reason: decision.reason })
     await Promise.all(decision.victims.map(victim => unload(account, victim, `makes room for ${model}`)))
-    // Room is made only by confirmed unloads; one that failed leaves the account too full, and nothing is sent.
+    // Only a confirmed unload frees memory. If one failed, the account is overcommitted and no order is sent.
     if (freeMiB(account) < 0) return abandon(account, replica, 'refused')
     const intent = intentOf(account, replica.orderId, { action: 'load', model, version, memoryMiB })
     if (!await record(intent)) return abandon(account, replica, ctx.isStopped() ? 'stopped' : 'not-recorded')
@@ -97,7 +97,7 @@
     replica.hasOpenOrder = true
     replica.orderId = createId('order')
     logger.info('unload-decided', { model: replica.model, engine: account.engine, order: replica.orderId, reason })
-    // Entry instances stop sending before the engine is told.
+    // Entry instances stop sending requests before the engine gets the order.
     ctx.publish()
     const intent = intentOf(account, replica.orderId, { action: 'unload', model: replica.model, memoryMiB: replica.memoryMiB })
     const isRecorded = await record(intent)
--- a/packages/magnoliabay/src/node/cells/replicaRegistry.ts
+++ b/packages/magnoliabay/src/node/cells/replicaRegistry.ts
@@ -1,5 +1,5 @@
 /**
- * The replica tables that this instance has heard of: what may be called, and where.
+ * The newest replica table of each cell that this instance has received.
  */
 import { createListeners } from '../members/dispatch'
 import type { Disposer } from '../members/peers'
@@ -9,7 +9,7 @@
   replicasOf (model: string): readonly ReplicaEntry[]
   all (): readonly ReplicaEntry[]
   tables (): readonly ReplicaTable[]
-  /** Takes a table unless a newer one of the cell is known. */
+  /** Stores a table, unless one as new or newer of the cell is known. */
   applyTable (table: ReplicaTable): void
   onChanged (listener: () => void): Disposer
 }
--- a/packages/magnoliabay/src/node/cells/scheduler.ts
+++ b/packages/magnoliabay/src/node/cells/scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * Turns wants into loads: most urgent first, within the cell's share of the weight store, each model at most
- * as often as decided.
+ * Starts loads for pending demand: most urgent first, within the cell's share of the weight store, and within the
+ * cell's quota of replicas of each model.
  */
 import type { ModelConfig } from '../config/fleet'
 import type { ListedInstance } from '../store'
@@ -19,30 +19,30 @@
   ops: ReplicaOps
   pendingDemand: PendingDemand
   history: GapHistory
-  /** Loads from the weight store at once. */
+  /** Limits loads from the weight store. */
   storeLoadLimiter: LoadLimiter
-  /** Called whenever a load from the weight store is under way or waited for. */
+  /** Called when a load from the weight store starts or has to wait. */
   recordStoreDemand: () => void
-  /** Most replicas of the model in this cell. */
+  /** Maximum number of replicas of the model in this cell. */
   quotaOf: (model: ModelConfig) => number
-  /** Replicas wanted now, at least one while anybody waits. */
+  /** Number of replicas that the current load of the model needs, at least one. */
   targetReplicas: (model: string) => number
-  /** Replicas that may be on engines not taken up yet. */
+  /** Number of replicas that may be on engines not taken over yet. */
   inheritedCount: (model: string) => number
   engineOf: (id: string) => ListedInstance | undefined
 }
 
 export interface Scheduler {
-  /** Decides whatever can be decided now. */
+  /** Starts every load that is possible now. */
   run (): void
-  /** Why the model is not being loaded, as of the last run. */
+  /** Reason why the model could not be loaded in the last run. */
   blockedReason (model: string): string | undefined
 }
 
 const RETRY_DELAY_MS: Readonly<Record<Exclude<LoadResult, 'loaded' | 'stopped'>, number>> = { refused: 1000, 'not-recorded': 500 }
-/** A model is not evicted again so soon after its load: whoever waited for it has hardly come to use it. */
+/** A model is not evicted sooner after its load, since the requests that waited for it may not have reached it yet. */
 const MIN_LOADED_MS = 3000
-/** Time after its last use in which a model counts as in use, milliseconds. */
+/** A model counts as in use for this long after its last use. */
 const IN_USE_WINDOW_MS = 1000
 
 export function createScheduler (options: SchedulerOptions): Scheduler {
@@ -60,7 +60,7 @@
     return nowMs - replica.loadedAtMs >= MIN_LOADED_MS && nowMs - replica.lastUsedMs >= IN_USE_WINDOW_MS &&
       !replica.hasOpenOrder && pendingDemand.get(replica.model) === undefined
   }
-  /** What the next caller of an evicted model would wait, discounted by how long it has not been called. */
+  /** Load time that the next request for an evicted model would wait, discounted by the expected time until then. */
   const evictionCostMs = (replica: Replica): number => {
     const idleMs = clock.monotonic() - replica.lastUsedMs
     const gaps = history.gaps(replica.model)
@@ -107,12 +107,12 @@
     const cfg = ctx.cfg.model(demand.model)
     if (cfg === undefined) return pendingDemand.remove(demand.model)
     const replicas = replicasOf(demand.model)
-    // One on an engine that can't be reached, or leaves, helps nobody who waits; it still counts as decided below.
+    // A replica on an unreachable or leaving engine can't serve waiting requests, but counts against the quota below.
     const usable = replicas.filter(replica => replica.lifecycle.state() !== 'unloading' && isEngineUsable(replica.engine))
     const target = Math.min(options.quotaOf(cfg), options.targetReplicas(demand.model))
     if (usable.length >= target) return
-    // A replica that is being unloaded, or may still be there, counts until it is confirmed gone.
-    if (replicas.length + options.inheritedCount(demand.model) >= options.quotaOf(cfg)) return setBlockedReason(demand.model, 'as many replicas as decided are still there')
+    // A replica that is unloading, or that may still be loaded, counts until it is confirmed gone.
+    if (replicas.length + options.inheritedCount(demand.model) >= options.quotaOf(cfg)) return setBlockedReason(demand.model, 'the quota of replicas is in use, or may still be in use')
     const isStoreAvailable = options.storeLoadLimiter.hasCapacity()
     const placement = place(demand, cfg, isStoreAvailable)
     if (!isStoreAvailable || (placement.kind === 'load' && placement.tier === 'remote')) options.recordStoreDemand()
@@ -130,5 +130,5 @@
   return { run, blockedReason: model => blocked.get(model) }
 }
 
-/** Time over which a further use counts, milliseconds. */
+/** Time until the next use at which the cost of an eviction counts half. */
 const REUSE_HORIZON_MS = 300_000
--- a/packages/magnoliabay/src/node/cells/usageReporter.ts
+++ b/packages/magnoliabay/src/node/cells/usageReporter.ts
@@ -1,4 +1,4 @@
-/** Gathers what this instance uses, and reports it to the stewards that decide about it. */
+/** Counts the requests of this instance by model and adapter, and reports them to the cell leaders. */
 import type { Peers } from '../members'
 import { usageNotice } from './records'
 import type { ReplicaTable, UsageReport } from './records'
@@ -13,7 +13,7 @@
 
 export interface UsageReporter {
   recordUse (model: string, adapter?: string): void
-  /** Reports to the given stewards here, and to those elsewhere. */
+  /** Reports to the given leaders on this instance, and to the leaders on other members. */
   report (localLeaders: readonly CellLeader[]): void
 }
 
--- a/packages/magnoliabay/src/node/cells/weightStoreShare.ts
+++ b/packages/magnoliabay/src/node/cells/weightStoreShare.ts
@@ -1,23 +1,23 @@
 /**
- * How the cells share what the weight store gives. The steward of the first cell keeps account of which cells load
- * at the moment, and gives each of them an equal part; a cell that is alone gets all. Going over the whole breaks
- * nothing, it only makes everybody's loads slower, so parts need neither agreement nor proof, only an end.
+ * Shares the capacity of the weight store among cells. The member that leads the first cell tracks which cells load at
+ * the moment, and allocates an equal share to each of them; a cell that loads alone gets all. Exceeding the capacity
+ * breaks nothing, it only slows all loads, so shares need neither agreement nor proof, only an expiry.
  */
 import type { Clock } from '../clock'
 import { definePeerCall } from '../members'
 
 export interface StoreShare {
-  /** Loads at once. */
+  /** Concurrent loads. */
   slots: number
-  /** Loads begun a second. */
+  /** Loads started per second. */
   perSecond: number
 }
 
 export const storeShareCall = definePeerCall<string, StoreShare>('cells.store-share')
 
-/** A cell that has not asked for this long loads nothing. */
+/** A share expires after this time. A cell without a request for this long counts as not loading. */
 const SHARE_TTL_MS = 5000
-/** How often a cell that loads asks for its part. */
+/** Interval at which a cell that loads requests its share. */
 const SHARE_REQUEST_INTERVAL_MS = 1000
 
 export interface StoreShareAllocator {
@@ -37,9 +37,9 @@
 }
 
 export interface StoreShareClient {
-  /** The part to go by now. */
+  /** The share that applies now. */
   current (): StoreShare
-  /** The cell loads, or would like to. */
+  /** Records that the cell loads or has loads waiting. Requests a new share when one is due. */
   recordDemand (): void
 }
 
@@ -47,11 +47,11 @@
   clock: Clock
   cells: number
   capacity: () => StoreShare
-  /** Undefined when the keeper did not answer. */
+  /** Requests a share. Undefined when the allocator did not answer. */
   request: () => Promise<StoreShare | undefined>
 }
 
-/** Without an answer a cell takes an equal part of all cells, but one load at least. */
+/** Without an answer a cell uses an equal share among all cells, but at least one concurrent load. */
 export function createStoreShareClient (options: StoreShareClientOptions): StoreShareClient {
   const { clock, cells, capacity } = options
   let granted: StoreShare | undefined
