--- a/packages/magnoliabay/src/node/cells/__tests__/support/directEngines.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/directEngines.ts
@@ -1,4 +1,4 @@
-/** Orders and questions straight to the stand-ins' states, with their faults of answering. */
+/** An engine client that calls the engine stand-ins directly, with their faults in answering orders. */
 import { sleep } from '../../../clock'
 import type { Clock } from '../../../clock'
 import type { EngineClient } from '../../../backend/engineClient'
--- a/packages/magnoliabay/src/node/cells/__tests__/support/fastClock.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/fastClock.ts
@@ -1,6 +1,6 @@
 /**
- * A virtual clock for long runs: timers in a heap, and only promises, no real I/O, get their turn in between. A
- * thousand times as fast as one that waits for a real timer after each virtual one.
+ * A virtual clock for long runs. Keeps timers in a heap, and lets only promises settle between them, no real I/O. A
+ * thousand times as fast as a clock that waits for a real timer after each virtual one.
  */
 import type { VirtualClock } from '../../../clock/virtual'
 
@@ -52,7 +52,7 @@
     }
   }
   const settle = (): Promise<void> => new Promise(resolve => setImmediate(resolve))
-  /** Runs all timers of the earliest time due. */
+  /** Runs all timers that are due at the earliest time. */
   const runNext = async (): Promise<void> => {
     const timer = pop()!
     if (timer.callback === undefined) return
--- a/packages/magnoliabay/src/node/cells/__tests__/support/pausable.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/pausable.ts
@@ -1,4 +1,4 @@
-/** A process whose every timer and every answer waits while it is paused. */
+/** A simulated process: while it is paused, its timers and the answers to its calls are deferred. */
 import type { EngineClient } from '../../../backend/engineClient'
 import type { Clock } from '../../../clock'
 import type { Store } from '../../../store'
@@ -9,7 +9,7 @@
   engines (engines: EngineClient): EngineClient
   pause (): void
   resume (): void
-  /** Nothing runs any more, ever. */
+  /** Ends the process for good: drops its timers and answers. */
   stop (): void
 }
 
@@ -23,7 +23,7 @@
     else callback()
   }
   const deferResult = <T>(promise: Promise<T>): Promise<T> => promise.then(value => new Promise<T>(resolve => runOrDefer(() => resolve(value))))
-  /** A call of a process that has ended is never made. */
+  /** Makes no call, and never settles, after the process has ended. */
   const call = <Args extends unknown[], T>(target: (...args: Args) => Promise<T>) => (...args: Args): Promise<T> =>
     isStopped ? new Promise<T>(() => {}) : deferResult(target(...args))
   return {
