--- a/packages/magnoliabay/src/node/cells/__tests__/support/invariants.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/invariants.ts
@@ -15,7 +15,7 @@
   harness.engines.forEach(engine => {
     expect(engine.records().overcommitAttempts, `overcommits of ${engine.id}`).to.deep.equal([])
     const { incarnation, usedMiB } = engine.state()
-    const account = accounts.find(kept => kept.engine === engine.id && kept.incarnation === incarnation)
+    const account = accounts.find(candidate => candidate.engine === engine.id && candidate.incarnation === incarnation)
     if (account !== undefined && !engine.isDown()) expect(chargedMiB(account), `charged at ${engine.id}`).to.be.at.least(usedMiB)
   })
 }
@@ -26,8 +26,8 @@
   readonly deadlineMs: number
 }
 
-export function callAt (harness: CellsHarness, instance: string, model: string, patienceMs: number): Caller {
-  const deadlineMs = harness.clock.monotonic() + patienceMs
+export function callAt (harness: CellsHarness, instance: string, model: string, timeoutMs: number): Caller {
+  const deadlineMs = harness.clock.monotonic() + timeoutMs
   const caller: Caller = { outcome: 'open', instance, deadlineMs }
   const settle = async (): Promise<void> => {
     const route = await harness.instance(instance).routing.acquireReplica({ modelOrAdapter: model, deadlineMs, excludedEngines: new Set(), signal: new AbortController().signal })
