--- a/packages/magnoliabay/src/node/cells/replicaLifecycle.ts
+++ b/packages/magnoliabay/src/node/cells/replicaLifecycle.ts
@@ -1,5 +1,5 @@
 /**
- * The life of a replica: decided -> recorded -> ordered -> loaded -> unloading -> gone, with `unknown` while an
+ * State machine of a replica: decided -> recorded -> ordered -> loaded -> unloading -> gone, with `unknown` while an
  * order has been sent and not been answered. Memory is charged in every state but `gone`.
  */
 import { createMachine, interpret, state, transition } from 'robot3'
@@ -7,8 +7,8 @@
 export type ReplicaState = 'decided' | 'recorded' | 'ordered' | 'loaded' | 'unloading' | 'unknown' | 'gone'
 
 /**
- * `abandon`: given up before any order was sent. `fail`: the engine answered that it did not load.
- * `lose`: the engine's own account shows that the replica is not there.
+ * `abandon`: cancelled before any order was sent. `fail`: the engine answered that it did not load.
+ * `lose`: the state that the engine reports does not contain the replica.
  */
 export type ReplicaEvent = 'record' | 'order' | 'confirm' | 'fail' | 'silence' | 'unload' | 'remove' | 'lose' | 'abandon'
 
@@ -22,19 +22,19 @@
   gone: state()
 })
 
-/** Events that lead a new life to where an engine's state shows that a replica is. */
-const PATHS: Readonly<Record<'loaded' | 'unknown', readonly ReplicaEvent[]>> = {
+/** Events that bring a new state machine to the state that an engine reports for a replica. */
+const INITIAL_EVENTS: Readonly<Record<'loaded' | 'unknown', readonly ReplicaEvent[]>> = {
   loaded: ['record', 'order', 'confirm'],
   unknown: ['record', 'order', 'silence']
 }
 
-export interface ReplicaLife {
+export interface ReplicaLifecycle {
   state (): ReplicaState
-  /** Moves on; false when the event does not apply to the present state, which then stays. */
+  /** Applies the event. Returns false, and keeps the state, when the event has no transition from it. */
   send (event: ReplicaEvent): boolean
 }
 
-export function createReplicaLife (from?: 'loaded' | 'unknown'): ReplicaLife {
+export function createReplicaLifecycle (initialState?: 'loaded' | 'unknown'): ReplicaLifecycle {
   const service = interpret(machine, () => {})
   const current = (): ReplicaState => service.machine.current as ReplicaState
   const send = (event: ReplicaEvent): boolean => {
@@ -42,6 +42,6 @@
     service.send(event)
     return current() !== before
   }
-  if (from !== undefined) PATHS[from].forEach(send)
+  if (initialState !== undefined) INITIAL_EVENTS[initialState].forEach(send)
   return { state: current, send }
 }
