--- a/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
@@ -239,7 +239,7 @@
       isFollowing: table.isFollowing,
       isLinked: joined.isConnected,
       isProxy: member => proxy.current() === member,
-      onLeaderTold: leading => leadership.noteClaimFromPeer(leading),
+      onLeaderTold: leading => leadership.recordClaimFromPeer(leading),
       clock: own,
       logger,
       random
--- a/packages/magnoliabay/src/node/serving/placement/leaderElection.ts
+++ b/packages/magnoliabay/src/node/serving/placement/leaderElection.ts
@@ -1,6 +1,6 @@
 /**
- * Which instance gives orders to engines: one at a time, under a lease of the store. Engines need not check fencing
- * numbers, so two machines that order in turns are kept apart in time instead: one that was not the last to order
+ * Elects the instance that gives orders to engines, one at a time, under a lease of the store. Engines need not check
+ * fencing tokens, so orders of two machines are separated in time instead: a machine that was not the last to order
  * waits before its first order.
  */
 import type { Clock } from '../../clock'
@@ -9,79 +9,81 @@
 import type { Result } from '../../result'
 import type { Store, StoreError } from '../../store'
 import type { LeadershipTerm } from '../fleetMessages'
-import { LAST_ORDERER_KEY, LEADER_KEY, createLeaderClaim, readLeaderRecords, versionedOf, writeLeaderClaim, writeLastOrderer } from './leaderRecords'
-import type { LastOrderer, LeaderClaim, LeaderRecords, Versioned } from './leaderRecords'
+import { LAST_ORDER_KEY, LEADER_KEY, createLeaderClaim, readLeaderRecords, versionedOf, writeLeaderClaim, writeLastOrderRecord } from './leaderRecords'
+import type { LastOrderRecord, LeaderClaim, LeaderRecords, Versioned } from './leaderRecords'
 
 export { LEADER_KEY }
 
-/** How often the lease is renewed. Three renewals fit into a lease, so that one lost answer costs nothing. */
-const RENEW_PERIOD_MS = 600
-const LEASE_MS = 2200
-/** The leader stops this long before its lease ends, so that an order on its way arrives before another leads. */
-const STOP_BEFORE_END_MS = 300
-/** A renewal that the store has not answered by then is tried by way of a peer, milliseconds. */
-const RENEW_PATIENCE_MS = 350
-/** How often one who does not lead looks whether the leader is gone, milliseconds. */
-const LOOK_PERIOD_MS = 250
-/** The same for one whom a leader tells that it is there, milliseconds. */
-const FOLLOWER_LOOK_PERIOD_MS = 500
-/** Pause before this instance tries again to be named as the last to order, milliseconds. */
-const BEGIN_RETRY_MS = 100
-/** Candidates try at different moments; the first one wins without a race. */
+/** Interval between renewals of the lease. Three fit into its lifetime, so that one lost response does not end it. */
+const RENEW_INTERVAL_MS = 600
+const LEASE_TTL_MS = 2200
+/** The leader stops ordering this long before its lease ends, so that an order in flight arrives before another leads. */
+const LEASE_SAFETY_MARGIN_MS = 300
+/** Time after which an unanswered renewal is also tried through a peer, milliseconds. */
+const DIRECT_RENEW_TIMEOUT_MS = 350
+/** Interval at which an instance that is not the leader checks whether it may claim the lease, milliseconds. */
+const LEADER_CHECK_INTERVAL_MS = 250
+/** The same interval for an instance that receives summaries from a leader, milliseconds. */
+const FOLLOWER_CHECK_INTERVAL_MS = 500
+/** Delay before the leader tries again to record its machine as the last to order, milliseconds. */
+const LAST_ORDER_RETRY_DELAY_MS = 100
+/**
+ * Bound of the random delay that makes candidates try at different moments, so that the first one wins without a race.
+ */
 const MAX_CANDIDATE_DELAY_MS = 100
 /**
- * Processes younger than others try first: where instances are restarted in turn, the old ones go next, and each
- * hand-over costs some seconds in which nothing is ordered.
+ * Younger processes try first: in a rolling restart the older ones are restarted next, and each handover leaves some
+ * seconds without orders. The delay grows with age up to this bound.
  */
-const AGE_DELAY_MS = 250
-const OLD_MS = 40_000
+const MAX_AGE_DELAY_MS = 250
+const MAX_AGE_DELAY_AFTER_MS = 40_000
 /**
- * Instances with less than a whole processor try later, by so many milliseconds for each that they lack of one: the
- * leader of a large fleet hears hundreds of reports a second.
+ * Instances with less than one whole processor try later, by this delay times the missing fraction of a processor: the
+ * leader of a large fleet receives hundreds of reports per second.
  */
-const SLOW_DELAY_MS = 450
+const MAX_PROCESSOR_DELAY_MS = 450
 
 export interface LeaderElection {
-  /** The number under which orders may be sent now, or undefined. */
+  /** Fencing token under which orders may be sent now; undefined if none may be sent. */
   fencingToken (): number | undefined
-  /** Milliseconds until this instance may order; undefined where it does not hold the lease. */
+  /** Milliseconds until this instance may order; undefined if it does not hold the lease. */
   firstOrderInMs (): number | undefined
   /** Whether this instance holds the lease, though it may have to wait before its first order. */
   isLeaseHolder (): boolean
-  /** The instance that holds the lease, by the latest claim that the store or a peer has told. */
+  /** The lease holder, by the latest claim received from the store or a peer. */
   leaseHolder (): string | undefined
-  /** By what this instance leads; undefined where it does not hold the lease. */
+  /** The claim of this instance; undefined if it does not hold the lease. */
   ownClaim (): LeadershipTerm | undefined
-  /** The claim that stands, as far as known. */
+  /** The current claim, if known. */
   knownClaim (): LeadershipTerm | undefined
-  /** Revision of the latest claim, or of its end, that is known. */
+  /** Revision of the latest known claim or of its end. */
   latestClaimRevision (): number
-  /** A peer tells of a claim. */
-  noteClaimFromPeer (claim: LeadershipTerm): void
+  /** Applies a claim received from a peer, if it is newer than the known one. */
+  recordClaimFromPeer (claim: LeadershipTerm): void
   start (signal: AbortSignal): void
-  /** Gives the lease back; no orders are sent any more. */
+  /** Revokes the lease; no orders are sent afterwards. */
   resign (): Promise<void>
 }
 
 export interface LeaderElectionOptions {
   store: Store
   self: string
-  /** Names the machine: its orders are those of one holder, whatever process sends them. */
+  /** Id of the machine: orders from any of its processes count as those of one lease holder. */
   machine: string
-  /** Orders of two holders must be this far apart, milliseconds. */
+  /** Shortest time between the orders of two machines, milliseconds. */
   orderLeaseMs: number
   minLeaseMs: number
-  /** Processor time a second that this process may use, seconds. */
+  /** Processor time that this process may use, seconds per second. */
   processorShare: number
-  /** Renews a lease by way of a peer that reaches the store; undefined where none does. */
+  /** Renews a lease through a peer that reaches the store; undefined if there is none. */
   renewLeaseViaPeer: (leaseId: string) => Promise<Result<number, StoreError> | undefined>
-  /** Another leads and says so: the store need not be asked. */
+  /** Whether this instance receives summaries from another leader, so that it need not check the store. */
   isFollowing: () => boolean
-  /** Tries for the lease later than others do, milliseconds. */
+  /** Additional delay before this instance tries to claim the lease, milliseconds. */
   candidacyDelayMs: () => number
-  /** Of the store: it rises whenever the store goes on from an older copy of itself. */
+  /** Era of the store; it rises whenever the store goes on from an older copy. */
   era: () => number
-  /** The whole fleet starts for the first time, so a record that is not there was never written. */
+  /** Whether the whole fleet starts for the first time, so that a missing record was never written. */
   isFirstStart: boolean
   /** Whether the instance's process is proven to have ended. */
   hasProcessEnded: (instance: string) => Promise<boolean>
@@ -90,234 +92,234 @@
   random: () => number
 }
 
-interface Term {
+interface LeaderTerm {
   claim: LeaderClaim
-  /** Of the store, as the claim was written. */
+  /** Era of the store when the claim was written. */
   era: number
   leaseId: string
   fence: number
-  /** Monotonic milliseconds of the first order. */
-  fromMs: number
-  /** Revision of the record of who ordered last, as this term began. */
-  lastRevision: number
-  /** Whether that record names this machine: no other has ordered since. */
-  isLast: boolean
+  /** Earliest time of the first order, monotonic milliseconds. */
+  firstOrderMs: number
+  /** Revision of the last-order record when this term began. */
+  lastOrderRevision: number
+  /** Whether that record names this machine, so that no other has ordered since. */
+  isLastToOrder: boolean
 }
 
 /**
- * Time that passed since a moment by whichever clock saw more of it. The steady clock stands still while a machine
- * is suspended; the time of day may be set back.
+ * A moment by both clocks: elapsed time is the larger of the two differences. The monotonic clock stops while a machine
+ * is suspended; the wall clock may be set back.
  */
-interface Moment {
-  steadyMs: number
+interface Timestamp {
+  monotonicMs: number
   wallMs: number
 }
 
-/** When the lease was seen to be free, and the revision of the record of who ordered last as it then was. */
-interface Freed {
+/** When the lease was seen to be released, and the revision of the last-order record at that time. */
+interface LeaseRelease {
   atMs: number
-  lastRevision: number
+  lastOrderRevision: number
 }
 
 export function createLeaderElection (options: LeaderElectionOptions): LeaderElection {
   const { store, self, machine, clock, logger } = options
-  const leaseMs = Math.max(LEASE_MS, options.minLeaseMs)
-  let term: Term | undefined
-  let confirmed: Moment | undefined
-  /** Until the first snapshot nobody knows whether there is a holder. */
-  let isInformed = false
+  const leaseMs = Math.max(LEASE_TTL_MS, options.minLeaseMs)
+  let term: LeaderTerm | undefined
+  let confirmedAt: Timestamp | undefined
+  /** Whether a first snapshot has arrived; before it, it is unknown whether there is a lease holder. */
+  let hasSnapshot = false
   let leader: Versioned<LeaderClaim> = versionedOf(undefined)
-  /** Of claims and of their ends, as far as known: what a peer tells may be older. */
+  /** Latest known revision of a claim or of its end; claims from peers may be older. */
   let latestRevision = 0
-  let last: Versioned<LastOrderer> = versionedOf(undefined)
-  let freed: Freed | undefined
+  let lastOrder: Versioned<LastOrderRecord> = versionedOf(undefined)
+  let leaseRelease: LeaseRelease | undefined
   let hasResigned = false
   let wake = new AbortController()
   const startedMs = clock.monotonic()
-  /** Of the first answer that this process had. */
+  /** Era of the first snapshot that this process received. */
   let firstEra = 0
   /**
-   * The era in which this machine's lease was lost though its time had not run out: nobody else can have ordered before
-   * that era, and whoever does in it says so in the store first.
+   * The era whose start ended this machine's lease before its time had run out. No other machine can have ordered before
+   * that era, and one that orders in it writes the last-order record first.
    */
-  let heldIntoEra: number | undefined
+  let uninterruptedEra: number | undefined
 
-  const mark = (): Moment => ({ steadyMs: clock.monotonic(), wallMs: clock.now() })
-  const since = (moment: Moment): number => Math.max(clock.monotonic() - moment.steadyMs, clock.now() - moment.wallMs)
-  const isConfirmed = (): boolean => confirmed !== undefined && since(confirmed) < leaseMs - STOP_BEFORE_END_MS
-  const lose = (reason: string): void => {
+  const currentTimestamp = (): Timestamp => ({ monotonicMs: clock.monotonic(), wallMs: clock.now() })
+  const elapsedMs = (moment: Timestamp): number => Math.max(clock.monotonic() - moment.monotonicMs, clock.now() - moment.wallMs)
+  const isConfirmed = (): boolean => confirmedAt !== undefined && elapsedMs(confirmedAt) < leaseMs - LEASE_SAFETY_MARGIN_MS
+  const endTerm = (reason: string): void => {
     if (term === undefined) return
     logger.warn('orderer-lost', { fence: term.fence, era: term.era, reason })
-    if (term.era < options.era() && term.isLast && isConfirmed()) heldIntoEra = options.era()
+    if (term.era < options.era() && term.isLastToOrder && isConfirmed()) uninterruptedEra = options.era()
     term = undefined
-    confirmed = undefined
+    confirmedAt = undefined
     wake.abort()
   }
-  const wasLast = ({ last: known }: Pick<LeaderRecords, 'last'>): boolean => {
+  const wasLastToOrder = ({ lastOrder: record }: Pick<LeaderRecords, 'lastOrder'>): boolean => {
     const era = options.era()
-    if (known.value?.era === era) return known.value.machine === machine
-    return heldIntoEra === era && era > 0
+    if (record.value?.era === era) return record.value.machine === machine
+    return uninterruptedEra === era && era > 0
   }
-  /** A store that went back to an older copy may have lost the record. */
-  const hasNobodyOrdered = ({ last: known }: LeaderRecords): boolean => known.revision === 0 && options.isFirstStart && options.era() === firstEra
+  /** A missing record proves nothing in a later era: a rollback of the store may have lost it. */
+  const hasNobodyOrdered = ({ lastOrder: record }: LeaderRecords): boolean => record.revision === 0 && options.isFirstStart && options.era() === firstEra
   /**
-   * Whether the claim may be taken now. One of this machine's own is that of a process before this one. One of a
-   * machine that was not the last to order has ordered nothing yet: this machine, which was, need not wait at all,
-   * so that orders go on at once after a restart of everybody, and once a short outage of the store is over.
+   * Whether the claim may be replaced now. A claim of this machine belongs to an earlier process. If this machine was the
+   * last to order, the holder of any other claim has ordered nothing yet, and this machine need not wait: orders continue
+   * at once after a restart of the whole fleet and after a short outage of the store.
    */
-  const mayClaim = (known: LeaderRecords): boolean =>
-    known.leader.value === undefined || known.leader.value.machine === machine || wasLast(known)
+  const mayClaim = (records: LeaderRecords): boolean =>
+    records.leader.value === undefined || records.leader.value.machine === machine || wasLastToOrder(records)
   /**
-   * The machine before this one ordered nothing after its lease was free. That moment counts only if nobody has ordered
-   * since: the record of who ordered last changes with each claim of the one it names.
+   * The previous leader ordered nothing after its lease was released. The time of release is used only if nobody has
+   * ordered since: the last-order record changes with each claim of the machine that it names.
    */
-  const firstOrderMs = (known: LeaderRecords): number => {
-    if (wasLast(known) || hasNobodyOrdered(known)) return clock.monotonic()
-    const isFreedKnown = freed?.lastRevision === known.last.revision && known.last.value?.era === options.era()
-    const freeSinceMs = isFreedKnown ? freed!.atMs : clock.monotonic()
+  const earliestOrderMs = (records: LeaderRecords): number => {
+    if (wasLastToOrder(records) || hasNobodyOrdered(records)) return clock.monotonic()
+    const isReleaseTimeKnown = leaseRelease?.lastOrderRevision === records.lastOrder.revision && records.lastOrder.value?.era === options.era()
+    const freeSinceMs = isReleaseTimeKnown ? leaseRelease!.atMs : clock.monotonic()
     return freeSinceMs + options.orderLeaseMs
   }
-  const candidate = async (): Promise<void> => {
-    const sentAt = mark()
-    const known = await readLeaderRecords(store)
-    if (known.err) return
+  const tryClaim = async (): Promise<void> => {
+    const sentAt = currentTimestamp()
+    const records = await readLeaderRecords(store)
+    if (records.err) return
     const era = options.era()
-    leader = known.val.leader
+    leader = records.val.leader
     latestRevision = Math.max(latestRevision, leader.revision)
-    last = known.val.last
-    if (!mayClaim(known.val) || hasResigned) return
+    lastOrder = records.val.lastOrder
+    if (!mayClaim(records.val) || hasResigned) return
     const lease = await store.grantLease(leaseMs / 1000)
     if (lease.err) return
-    const fromMs = firstOrderMs(known.val)
+    const firstOrderMs = earliestOrderMs(records.val)
     const claim = createLeaderClaim(self, machine)
-    const isLast = wasLast(known.val)
-    const claimed = await writeLeaderClaim(store, known.val, claim, { leaseId: lease.val, era, isLast })
-    // What was read may be of a store that has gone back to an older copy since.
+    const isLastToOrder = wasLastToOrder(records.val)
+    const claimed = await writeLeaderClaim(store, records.val, claim, { leaseId: lease.val, era, isLastToOrder })
+    // The records may have been read before a rollback of the store.
     if (claimed.kind !== 'done' || options.era() !== era) {
       await store.revokeLease(lease.val)
       return
     }
-    term = { claim, era, leaseId: lease.val, fence: claimed.revision, fromMs, isLast, lastRevision: isLast ? claimed.revision : known.val.last.revision }
-    confirmed = sentAt
-    logger.info('orderer-won', { fence: term.fence, firstOrderInMs: Math.max(0, Math.round(fromMs - clock.monotonic())), orderedLast: known.val.last.value?.machine })
+    term = { claim, era, leaseId: lease.val, fence: claimed.revision, firstOrderMs, isLastToOrder, lastOrderRevision: isLastToOrder ? claimed.revision : records.val.lastOrder.revision }
+    confirmedAt = sentAt
+    logger.info('orderer-won', { fence: term.fence, firstOrderInMs: Math.max(0, Math.round(firstOrderMs - clock.monotonic())), orderedLast: records.val.lastOrder.value?.machine })
   }
-  /** The first order goes out only once the store names this machine as the last to order. */
-  const beginOrdering = async (held: Term): Promise<void> => {
-    const written = await writeLastOrderer(store, { machine, era: held.era }, held.fence, held.lastRevision)
-    if (term !== held) return
-    if (written.kind === 'lost') return lose('another machine took the lease back')
-    if (written.kind === 'failed') return logger.warn('orderer-not-named', { fence: held.fence, reason: written.reason })
-    held.isLast = true
-    held.lastRevision = written.revision
+  /** Writes the last-order record: no order is sent before the store names this machine in it. */
+  const beginOrdering = async (ownTerm: LeaderTerm): Promise<void> => {
+    const written = await writeLastOrderRecord(store, { machine, era: ownTerm.era }, ownTerm.fence, ownTerm.lastOrderRevision)
+    if (term !== ownTerm) return
+    if (written.kind === 'lost') return endTerm('another machine took the lease back')
+    if (written.kind === 'failed') return logger.warn('orderer-not-named', { fence: ownTerm.fence, reason: written.reason })
+    ownTerm.isLastToOrder = true
+    ownTerm.lastOrderRevision = written.revision
   }
-  /** The store may turn this instance away and serve others: the lease is renewed by way of one of them. */
-  const renewLease = async (leaseId: string): Promise<{ sentAt: Moment, renewed: Result<number, StoreError> }> => {
-    const sentAt = mark()
-    const direct = store.renewLease(leaseId)
-    const first = await withTimeout(clock, RENEW_PATIENCE_MS, direct)
-    if (first !== TIMED_OUT && (first.ok || first.val.kind === 'lease-lost')) return { sentAt, renewed: first }
-    const askedAt = mark()
-    const byPeer = await options.renewLeaseViaPeer(leaseId)
-    if (byPeer === undefined || byPeer.err) logger.debug('lease-not-renewed-by-peer', { lease: leaseId, reason: byPeer?.err === true ? byPeer.val.kind : 'no peer' })
-    if (byPeer !== undefined && (byPeer.ok || byPeer.val.kind === 'lease-lost')) return { sentAt: askedAt, renewed: byPeer }
-    return { sentAt, renewed: await direct }
+  /** Renews the lease, through a peer if the store rejects this instance or does not respond to it in time. */
+  const renewLease = async (leaseId: string): Promise<{ sentAt: Timestamp, renewed: Result<number, StoreError> }> => {
+    const sentAt = currentTimestamp()
+    const directRenewal = store.renewLease(leaseId)
+    const directResult = await withTimeout(clock, DIRECT_RENEW_TIMEOUT_MS, directRenewal)
+    if (directResult !== TIMED_OUT && (directResult.ok || directResult.val.kind === 'lease-lost')) return { sentAt, renewed: directResult }
+    const peerSentAt = currentTimestamp()
+    const peerResult = await options.renewLeaseViaPeer(leaseId)
+    if (peerResult === undefined || peerResult.err) logger.debug('lease-not-renewed-by-peer', { lease: leaseId, reason: peerResult?.err === true ? peerResult.val.kind : 'no peer' })
+    if (peerResult !== undefined && (peerResult.ok || peerResult.val.kind === 'lease-lost')) return { sentAt: peerSentAt, renewed: peerResult }
+    return { sentAt, renewed: await directRenewal }
   }
-  const renew = async (held: Term): Promise<void> => {
+  const renew = async (ownTerm: LeaderTerm): Promise<void> => {
     const wasConfirmed = isConfirmed()
-    const { sentAt, renewed } = await renewLease(held.leaseId)
-    if (term !== held) return
+    const { sentAt, renewed } = await renewLease(ownTerm.leaseId)
+    if (term !== ownTerm) return
     if (renewed.err) {
-      if (renewed.val.kind === 'lease-lost') return lose('lease ended')
-      // While the store is away for everybody nobody else can take the lease; it may even stand still meanwhile.
-      if (wasConfirmed && !isConfirmed()) logger.warn('orderer-paused', { fence: held.fence, reason: 'lease not renewed in time' })
+      if (renewed.val.kind === 'lease-lost') return endTerm('lease ended')
+      // While the store is unreachable for all instances, no other can take the lease, and its time may not run at all.
+      if (wasConfirmed && !isConfirmed()) logger.warn('orderer-paused', { fence: ownTerm.fence, reason: 'lease not renewed in time' })
       return
     }
-    // Counted from when it was sent: the answer may have waited while this process stood still.
-    confirmed = sentAt
-    if (!wasConfirmed) logger.info('orderer-resumed', { fence: held.fence })
+    // Counted from the time of sending: the response may have waited while this process was suspended.
+    confirmedAt = sentAt
+    if (!wasConfirmed) logger.info('orderer-resumed', { fence: ownTerm.fence })
   }
-  /** Ends the lease of a leader whose process has ended, so that orders go on without waiting for it to lapse. */
-  const releaseEnded = async (): Promise<void> => {
+  /** Revokes the lease of a leader whose process has ended, so that orders continue without waiting for it to lapse. */
+  const revokeEndedLeaderLease = async (): Promise<void> => {
     const holder = leader.value?.holder
     if (holder === undefined || holder === self || !await options.hasProcessEnded(holder)) return
-    const known = await readLeaderRecords(store)
-    if (known.err || known.val.leader.value?.claim !== leader.value?.claim || known.val.leader.leaseId === undefined) return
-    logger.info('orderer-ended', { holder, lease: known.val.leader.leaseId })
-    await store.revokeLease(known.val.leader.leaseId)
+    const records = await readLeaderRecords(store)
+    if (records.err || records.val.leader.value?.claim !== leader.value?.claim || records.val.leader.leaseId === undefined) return
+    logger.info('orderer-ended', { holder, lease: records.val.leader.leaseId })
+    await store.revokeLease(records.val.leader.leaseId)
   }
   const step = async (): Promise<void> => {
     if (term !== undefined) return await renew(term)
-    if (!isInformed || hasResigned || options.isFollowing()) return
-    if (!mayClaim({ leader, last })) return await releaseEnded()
-    if (!wasLast({ last })) {
-      const age = Math.min(1, (clock.monotonic() - startedMs) / OLD_MS)
-      const lacking = Math.max(0, 1 - options.processorShare)
-      await sleep(clock, options.random() * MAX_CANDIDATE_DELAY_MS + age * AGE_DELAY_MS + lacking * SLOW_DELAY_MS + options.candidacyDelayMs())
-      if (!mayClaim({ leader, last }) || hasResigned || options.isFollowing()) return
+    if (!hasSnapshot || hasResigned || options.isFollowing()) return
+    if (!mayClaim({ leader, lastOrder })) return await revokeEndedLeaderLease()
+    if (!wasLastToOrder({ lastOrder })) {
+      const age = Math.min(1, (clock.monotonic() - startedMs) / MAX_AGE_DELAY_AFTER_MS)
+      const missingShare = Math.max(0, 1 - options.processorShare)
+      await sleep(clock, options.random() * MAX_CANDIDATE_DELAY_MS + age * MAX_AGE_DELAY_MS + missingShare * MAX_PROCESSOR_DELAY_MS + options.candidacyDelayMs())
+      if (!mayClaim({ leader, lastOrder }) || hasResigned || options.isFollowing()) return
     }
-    // Changes are gathered before they are told: in a large fleet most have missed that another has won.
-    await candidate()
+    // Changes are delivered in batches, so in a large fleet most candidates have not seen yet that another has won.
+    await tryClaim()
   }
-  const untilNextMs = (): number => {
-    if (term === undefined) return delayToNextPeriod(clock, options.isFollowing() ? FOLLOWER_LOOK_PERIOD_MS : LOOK_PERIOD_MS)
-    const untilFirstMs = term.fromMs - clock.monotonic()
-    if (term.isLast) return RENEW_PERIOD_MS
-    return untilFirstMs > 0 ? Math.min(RENEW_PERIOD_MS, untilFirstMs) : BEGIN_RETRY_MS
+  const delayToNextStepMs = (): number => {
+    if (term === undefined) return delayToNextPeriod(clock, options.isFollowing() ? FOLLOWER_CHECK_INTERVAL_MS : LEADER_CHECK_INTERVAL_MS)
+    const untilFirstMs = term.firstOrderMs - clock.monotonic()
+    if (term.isLastToOrder) return RENEW_INTERVAL_MS
+    return untilFirstMs > 0 ? Math.min(RENEW_INTERVAL_MS, untilFirstMs) : LAST_ORDER_RETRY_DELAY_MS
   }
   const run = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
       wake = new AbortController()
       await step()
-      if (term !== undefined && !term.isLast && clock.monotonic() >= term.fromMs) await beginOrdering(term)
-      await sleep(clock, untilNextMs(), AbortSignal.any([signal, wake.signal]))
+      if (term !== undefined && !term.isLastToOrder && clock.monotonic() >= term.firstOrderMs) await beginOrdering(term)
+      await sleep(clock, delayToNextStepMs(), AbortSignal.any([signal, wake.signal]))
     }
   }
-  /** `revision`: of the change that is told, which may be older than the claim of this instance. */
-  const noteLeader = (next: Versioned<LeaderClaim>, revision: number): void => {
+  /** `revision`: of the received change, which may be older than the claim of this instance. */
+  const applyLeader = (next: Versioned<LeaderClaim>, revision: number): void => {
     leader = next
     latestRevision = Math.max(latestRevision, revision)
-    if (term !== undefined && revision > term.fence) lose(next.value === undefined ? 'lease ended' : 'another machine took the lease')
-    if (next.value === undefined) freed = { atMs: clock.monotonic(), lastRevision: last.revision }
-    if (mayClaim({ leader, last })) wake.abort()
+    if (term !== undefined && revision > term.fence) endTerm(next.value === undefined ? 'lease ended' : 'another machine took the lease')
+    if (next.value === undefined) leaseRelease = { atMs: clock.monotonic(), lastOrderRevision: lastOrder.revision }
+    if (mayClaim({ leader, lastOrder })) wake.abort()
   }
-  const noteLast = (next: Versioned<LastOrderer>): void => {
-    last = next
-    if (mayClaim({ leader, last })) wake.abort()
+  const applyLastOrder = (next: Versioned<LastOrderRecord>): void => {
+    lastOrder = next
+    if (mayClaim({ leader, lastOrder })) wake.abort()
   }
 
   return {
     fencingToken: () => {
-      if (term === undefined || hasResigned || !term.isLast || clock.monotonic() < term.fromMs) return undefined
+      if (term === undefined || hasResigned || !term.isLastToOrder || clock.monotonic() < term.firstOrderMs) return undefined
       if (!isConfirmed()) return undefined
       return term.fence
     },
     firstOrderInMs: () => {
       if (term === undefined || hasResigned || !isConfirmed()) return undefined
-      return Math.max(0, term.fromMs - clock.monotonic())
+      return Math.max(0, term.firstOrderMs - clock.monotonic())
     },
     isLeaseHolder: () => term !== undefined && !hasResigned && isConfirmed(),
     leaseHolder: () => leader.value?.holder,
     ownClaim: () => term === undefined || hasResigned || !isConfirmed() ? undefined : { claim: term.claim, revision: term.fence },
     knownClaim: () => leader.value === undefined ? undefined : { claim: leader.value, revision: leader.revision },
     latestClaimRevision: () => Math.max(latestRevision, term?.fence ?? 0),
-    noteClaimFromPeer: ({ claim, revision }) => {
-      if (revision > Math.max(latestRevision, term?.fence ?? 0)) noteLeader({ value: claim, revision, leaseId: undefined }, revision)
+    recordClaimFromPeer: ({ claim, revision }) => {
+      if (revision > Math.max(latestRevision, term?.fence ?? 0)) applyLeader({ value: claim, revision, leaseId: undefined }, revision)
     },
     start: signal => {
       store.watch(LEADER_KEY, {
         onSnapshot: ({ entries }) => {
-          if (!isInformed) firstEra = options.era()
-          isInformed = true
+          if (!hasSnapshot) firstEra = options.era()
+          hasSnapshot = true
           const found = entries.find(entry => entry.key === LEADER_KEY)
-          noteLeader(versionedOf(found), found?.modRevision ?? 0)
+          applyLeader(versionedOf(found), found?.modRevision ?? 0)
         },
         onEvent: event => {
-          if (event.key === LEADER_KEY) noteLeader(versionedOf(event.kind === 'put' ? event : undefined), event.modRevision)
+          if (event.key === LEADER_KEY) applyLeader(versionedOf(event.kind === 'put' ? event : undefined), event.modRevision)
         }
       }, signal)
-      store.watch(LAST_ORDERER_KEY, {
-        onSnapshot: ({ entries }) => noteLast(versionedOf(entries.find(entry => entry.key === LAST_ORDERER_KEY))),
-        onEvent: event => { if (event.kind === 'put' && event.key === LAST_ORDERER_KEY) noteLast(versionedOf(event)) }
+      store.watch(LAST_ORDER_KEY, {
+        onSnapshot: ({ entries }) => applyLastOrder(versionedOf(entries.find(entry => entry.key === LAST_ORDER_KEY))),
+        onEvent: event => { if (event.kind === 'put' && event.key === LAST_ORDER_KEY) applyLastOrder(versionedOf(event)) }
       }, signal)
       run(signal)
     },
--- a/packages/magnoliabay/src/node/serving/placement/peerLeaseRenewal.ts
+++ b/packages/magnoliabay/src/node/serving/placement/peerLeaseRenewal.ts
@@ -1,7 +1,7 @@
 /**
- * Renews a lease by way of a peer. Failure: the store turns the leader away and serves the others; its lease lapses, and
- * for three seconds and more nobody gives orders. A renewal is a call by the lease's number, whoever makes it, so that
- * the leader goes on while any of its peers reaches the store.
+ * Renews a lease through a peer. It covers a store that rejects the leader and serves other instances: the lease would
+ * lapse, and no orders would be given for three seconds or more. The store renews a lease by its id for any caller, so
+ * the leader continues while any peer reaches the store.
  */
 import { definePeerCall } from '../../members'
 import type { Peers } from '../../members'
@@ -17,24 +17,24 @@
 
 export const renewCall = definePeerCall<RenewRequest, RenewReply>('placement.renew-lease')
 
-/** A peer in touch with the store answers in milliseconds, while the store is slow in tenths of a second. */
+/** A peer that reaches the store responds in milliseconds, or in tenths of a second while the store is slow. */
 const RENEW_TIMEOUT_MS = 700
 
 export interface PeerLeaseRenewalOptions {
   peers: Peers
   store: Pick<Store, 'renewLease'>
-  /** The peer that heard the store last, as far as known. */
+  /** The peer with the latest known store contact. */
   peerWithLatestStoreContact: () => string | undefined
 }
 
-/** Serves renewals for others as well. */
-export function createPeerLeaseRenewal ({ peers, store, peerWithLatestStoreContact: closestToStore }: PeerLeaseRenewalOptions): (leaseId: string) => Promise<Result<number, StoreError> | undefined> {
+/** Creates the renewal call, and serves renewals for other instances. */
+export function createPeerLeaseRenewal ({ peers, store, peerWithLatestStoreContact }: PeerLeaseRenewalOptions): (leaseId: string) => Promise<Result<number, StoreError> | undefined> {
   peers.serve(renewCall, async ({ leaseId }): Promise<RenewReply> => {
     const renewed = await store.renewLease(leaseId)
     return renewed.ok ? { kind: 'renewed', secondsLeft: renewed.val } : { kind: 'failed', error: renewed.val }
   })
   return async leaseId => {
-    const peer = closestToStore()
+    const peer = peerWithLatestStoreContact()
     if (peer === undefined) return undefined
     const reply = await peers.call(peer, renewCall, { leaseId }, { timeoutMs: RENEW_TIMEOUT_MS })
     if (reply.err) return Err({ kind: 'unknown', message: reply.val.message })
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -245,7 +245,7 @@
     clock,
     logger
   })
-  const spread = createSpread({ peers, cfg, servers, evacuations, members: membership, storeAgeMs, leading: () => leadership.ownClaim() ?? leadership.knownClaim(), followers: () => [...table.reporters(), ...proxy.clients()], isProxy: member => proxy.current() === member, isLeadingRelays: () => leadership.isLeaseHolder() && table.isRelayed(), isFollowing: table.isFollowing, isLinked, onLeaderTold: leading => leadership.noteClaimFromPeer(leading), clock, logger, random })
+  const spread = createSpread({ peers, cfg, servers, evacuations, members: membership, storeAgeMs, leading: () => leadership.ownClaim() ?? leadership.knownClaim(), followers: () => [...table.reporters(), ...proxy.clients()], isProxy: member => proxy.current() === member, isLeadingRelays: () => leadership.isLeaseHolder() && table.isRelayed(), isFollowing: table.isFollowing, isLinked, onLeaderTold: leading => leadership.recordClaimFromPeer(leading), clock, logger, random })
   /** Neighbours and relays look: they are a few, hold links to the leader, and see one end. */
   const hasEnded = async (member: string): Promise<boolean> => {
     const record = peers.members().find(each => each.id === member)
