--- a/packages/magnoliabay/src/node/serving/placement/messages.ts
+++ b/packages/magnoliabay/src/node/serving/placement/messages.ts
@@ -1,17 +1,18 @@
-/** What instances and the one that gives orders say to each other. */
+/** Peer messages between instances and the leader about the placement of models. */
 import { definePeerCall } from '../../members'
 
 export interface PlacementRequest {
   model: string
   adapter: string | undefined
-  /** How long the first request has waited, milliseconds. */
+  /** Time for which the first request has waited, milliseconds. */
   waitedMs: number
-  /** How much longer it waits at most, milliseconds; one that would wait longer is told at once to come back. */
+  /** Longest further wait, milliseconds; a caller that would have to wait longer is told at once to retry. */
   patienceMs: number
 }
 
 /**
- * `ready`: this server has it. `coming`: in about so long. `unavailable`: nothing can be ordered at present.
+ * `ready`: this server has the model. `coming`: it is expected in `inMs` milliseconds. `unavailable`: no order can be
+ * given at present.
  */
 export type PlacementReply =
   | { kind: 'ready', server: string }
