--- a/packages/magnoliabay/src/node/serving/placement/adapterPlacement.ts
+++ b/packages/magnoliabay/src/node/serving/placement/adapterPlacement.ts
@@ -1,9 +1,9 @@
 /**
- * On which engine an adapter is loaded. Pattern: forty adapters of a few busy models, of which an engine takes eight;
- * loading one takes milliseconds, while a request without it is turned back.
+ * Chooses the engine on which an adapter is loaded. Expected load: forty adapters of a few busy models, of which an
+ * engine holds eight. Loading one takes milliseconds, while a request for an adapter that is not loaded is rejected.
  */
 
-export interface HeldAdapter {
+export interface LoadedAdapter {
   model: string
   adapter: string
   /** Requests a second over the fleet. */
@@ -11,57 +11,61 @@
   isInUse: boolean
 }
 
-export interface AdapterHolder {
+export interface EngineAdapters {
   id: string
-  /** Requests of the model under way there. */
+  /** Requests in flight on the engine. */
   load: number
-  places: number
-  /** Models that it has loaded. */
+  adapterCapacity: number
+  /** Models that the engine has loaded. */
   models: readonly string[]
-  adapters: readonly HeldAdapter[]
+  adapters: readonly LoadedAdapter[]
 }
 
-export interface AdapterPlace {
+export interface AdapterPlacement {
   id: string
   evict: { model: string, adapter: string } | undefined
 }
 
-/** The engine that has it, else the least loaded with a free place, else one that gives up what is asked for least. */
-export function chooseAdapterPlace (holders: readonly AdapterHolder[], model: string, adapter: string): AdapterPlace | undefined {
-  const byLoad = [...holders].sort((left, right) => left.load - right.load)
-  const having = byLoad.find(holder => holder.adapters.some(held => held.model === model && held.adapter === adapter))
-  if (having !== undefined) return { id: having.id, evict: undefined }
-  const withRoom = byLoad.find(holder => holder.adapters.length < holder.places)
-  if (withRoom !== undefined) return { id: withRoom.id, evict: undefined }
-  const victims = byLoad
-    .flatMap(holder => holder.adapters.filter(held => !held.isInUse).map(held => ({ holder, held })))
-    .sort((left, right) => left.held.rate - right.held.rate)
-  const victim = victims[0]
-  if (victim === undefined) return undefined
-  return { id: victim.holder.id, evict: { model: victim.held.model, adapter: victim.held.adapter } }
+/**
+ * Returns the engine that has the adapter, else the least loaded one with free capacity, else one that evicts the least
+ * requested adapter.
+ */
+export function chooseAdapterPlacement (engines: readonly EngineAdapters[], model: string, adapter: string): AdapterPlacement | undefined {
+  const byLoad = [...engines].sort((left, right) => left.load - right.load)
+  const withAdapter = byLoad.find(engine => engine.adapters.some(loadedAdapter => loadedAdapter.model === model && loadedAdapter.adapter === adapter))
+  if (withAdapter !== undefined) return { id: withAdapter.id, evict: undefined }
+  const withCapacity = byLoad.find(engine => engine.adapters.length < engine.adapterCapacity)
+  if (withCapacity !== undefined) return { id: withCapacity.id, evict: undefined }
+  const evictable = byLoad
+    .flatMap(engine => engine.adapters.filter(loadedAdapter => !loadedAdapter.isInUse).map(loadedAdapter => ({ engine, loadedAdapter })))
+    .sort((left, right) => left.loadedAdapter.rate - right.loadedAdapter.rate)
+  const leastUsed = evictable[0]
+  if (leastUsed === undefined) return undefined
+  return { id: leastUsed.engine.id, evict: { model: leastUsed.loadedAdapter.model, adapter: leastUsed.loadedAdapter.adapter } }
 }
 
-export interface SpareAdapter {
+export interface AdapterPreload {
   id: string
   model: string
   adapter: string
 }
 
 /**
- * Adapters that no engine has, one for each open engine with a free place and the model. An adapter takes
- * milliseconds to load, but a request that comes first waits for a round of orders, longer while its engine is busy.
+ * Returns adapters to load before they are requested: for each idle engine with free capacity, one adapter of its
+ * models that no engine has. An adapter loads in milliseconds, but a first request for one that is not loaded waits for
+ * an order to be sent, and longer while the engine is busy.
  */
-export function spareAdapters (holders: readonly AdapterHolder[], open: readonly string[], namesOf: (model: string) => readonly string[]): SpareAdapter[] {
-  const taken = new Set(holders.flatMap(holder => holder.adapters.map(held => `${held.model}/${held.adapter}`)))
-  const roomiest = [...holders]
-    .filter(holder => open.includes(holder.id) && holder.adapters.length < holder.places)
+export function planAdapterPreloads (engines: readonly EngineAdapters[], idleIds: readonly string[], adaptersOf: (model: string) => readonly string[]): AdapterPreload[] {
+  const loaded = new Set(engines.flatMap(engine => engine.adapters.map(loadedAdapter => `${loadedAdapter.model}/${loadedAdapter.adapter}`)))
+  const byUsedCapacity = [...engines]
+    .filter(engine => idleIds.includes(engine.id) && engine.adapters.length < engine.adapterCapacity)
     .sort((left, right) => left.adapters.length - right.adapters.length)
-  return roomiest.flatMap(holder => {
-    const missing = holder.models
-      .flatMap(model => namesOf(model).map(adapter => ({ id: holder.id, model, adapter })))
-      .find(({ model, adapter }) => !taken.has(`${model}/${adapter}`))
+  return byUsedCapacity.flatMap(engine => {
+    const missing = engine.models
+      .flatMap(model => adaptersOf(model).map(adapter => ({ id: engine.id, model, adapter })))
+      .find(({ model, adapter }) => !loaded.has(`${model}/${adapter}`))
     if (missing === undefined) return []
-    taken.add(`${missing.model}/${missing.adapter}`)
+    loaded.add(`${missing.model}/${missing.adapter}`)
     return [missing]
   })
 }
--- a/packages/magnoliabay/src/node/serving/placement/engineOrders.ts
+++ b/packages/magnoliabay/src/node/serving/placement/engineOrders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders to engines, sent one at a time to each and followed to their end: by the entries that engines write when
- * they are done, by reports where entries are late, and by trying the next order where both would cost time.
+ * Sends orders to engines, one at a time to each, and detects their completion: by the entries that engines write to
+ * the store, by reports where entries are late, and by trying the next order where waiting for either would cost time.
  */
 import type { Clock } from '../../clock'
 import { sleep } from '../../clock'
@@ -11,30 +11,30 @@
 import type { ServerList } from '../serverList'
 import { serverProcessId } from '../types'
 import type { BackendServer, EngineSpec, LoadedModel, ModelSpec } from '../types'
-import { adapterPlacesTaken, createEngineBook } from './engineStates'
-import type { EngineBook, EngineEntry, PendingOrder } from './engineStates'
+import { usedAdapterCapacity, createEngineTracker } from './engineTracker'
+import type { EngineTracker, TrackedEngine, PendingOrder } from './engineTracker'
 import type { LeaderElection } from './leaderElection'
 import type { WeightTier } from './plan'
 
-/** Reports lag by some hundred milliseconds and are paid for; asking more often tells nothing new. */
-const REPORT_PERIOD_MS = 250
-/** An unload without runs takes less than this. */
-const UNLOAD_MS = 100
-/** From then on the load that an engine was emptied for is tried: an engine that is not done turns it back. */
-const FIRST_TRY_MS = 150
-const TRY_PERIOD_MS = 100
-/** Tries beyond this are slower: runs under way hold the unload up. */
-const QUICK_TRIES_MS = 900
-const SLOW_TRY_PERIOD_MS = 400
-/** What was written while the store was out of reach comes within this time of its return, page by page, milliseconds. */
-const CATCH_UP_MS = 1000
-/** An adapter loads within this time; requests sent before are turned back, not run. */
-const ADAPTER_READY_MS = 20
+/** Reports lag by some hundred milliseconds and each has a cost, so that more frequent requests return nothing new. */
+const REPORT_INTERVAL_MS = 250
+/** An unload takes less than this if no request is running on the model. */
+const EXPECTED_UNLOAD_MS = 100
+/** Time after an unload order before the following load is tried; an engine that is still unloading rejects it. */
+const FIRST_TRY_DELAY_MS = 150
+const TRY_INTERVAL_MS = 100
+/** After this time tries are less frequent: running requests are delaying the unload. */
+const SLOW_TRIES_AFTER_MS = 900
+const SLOW_TRY_INTERVAL_MS = 400
+/** Events written while the store was unreachable arrive in pages within this time after it is reachable again. */
+const STORE_CATCH_UP_MS = 1000
+/** An adapter loads within this time; requests sent earlier are rejected without being run. */
+const ADAPTER_LOAD_MS = 20
 
 export interface Engine {
   server: BackendServer
   spec: EngineSpec
-  entry: EngineEntry
+  tracked: TrackedEngine
   process: string
 }
 
@@ -48,182 +48,185 @@
   storeReachableSinceMs: () => number
   clock: Clock
   logger: Logger
-  /** An order has come to its end: there may be something to do. */
-  onDone: (process: string, tookMs: number) => void
-  /** A load from the weight store has begun, or may have. */
+  /** Called when an order has ended, so that the next plan can be made. */
+  onOrderDone: (process: string, tookMs: number) => void
+  /** Called when a load from the weight store has begun or may have begun. */
   onStoreLoad: (process: string) => void
 }
 
 export interface EngineOrders {
-  readonly book: EngineBook
-  all (): Engine[]
+  readonly tracker: EngineTracker
+  listEngines (): Engine[]
   specOf (model: string): ModelSpec | undefined
-  /** Whether an order is on its way to the engine. */
-  isSending (process: string): boolean
-  /** Whether the next order may be tried: nothing is under way, or an unload that should be done soon. */
-  mayTry (engine: Engine): boolean
-  /** `tier`: where the engine has the weights. */
+  /** Whether an order to the engine is queued or sent and not answered. */
+  hasOrderInFlight (process: string): boolean
+  /** Whether the next order may be tried: no order is pending, or the pending one is an unload that should end soon. */
+  mayTryNextOrder (engine: Engine): boolean
+  /** `tier`: the tier from which the engine loads the weights. */
   load (process: string, model: string, tier: WeightTier, expectedMs: number): Promise<void>
   unload (process: string, model: string): Promise<void>
   loadAdapter (process: string, model: string, adapter: string): Promise<boolean>
   unloadAdapter (process: string, model: string, adapter: string): Promise<boolean>
-  /** Whether an order is under way whose end is awaited. */
-  isWaiting (): boolean
-  /** Asks engines whose state is not known, or whose order should be done. */
-  askReports (): void
+  /** Whether this instance may order and any order is queued, in flight or pending. */
+  hasPendingOrders (): boolean
+  /** Requests reports from engines whose number of accepted orders is unknown or whose pending order should be done. */
+  requestReports (): void
 }
 
 export function createEngineOrders (options: EngineOrdersOptions): EngineOrders {
   const { self, leadership, servers, cfg, engines, clock, logger } = options
-  const book = createEngineBook()
-  /** Orders on their way to each engine, those included that wait for one before them. */
-  const sending = new Map<string, number>()
-  const asking = new Set<string>()
-  const triedMs = new Map<string, number>()
-  /** Orders to one engine go one after the other. */
+  const tracker = createEngineTracker()
+  /** Number of orders to each engine that are queued or in flight. */
+  const ordersInFlight = new Map<string, number>()
+  const reportsInFlight = new Set<string>()
+  const lastTryMs = new Map<string, number>()
+  /** Last queued order of each engine: orders to one engine are sent one after the other. */
   const queues = new Map<string, Promise<unknown>>()
 
   const engineOf = (server: BackendServer, spec: EngineSpec): Engine => {
     const process = serverProcessId(server)
-    return { server, spec, entry: book.entry(process), process }
+    return { server, spec, tracked: tracker.get(process), process }
   }
-  const all = (): Engine[] => [...cfg.current()?.services.values() ?? []].flatMap(service => {
+  const listEngines = (): Engine[] => [...cfg.current()?.services.values() ?? []].flatMap(service => {
     const spec = service.engine
     return spec === undefined ? [] : servers.usable(service.name).map(server => engineOf(server, spec))
   })
-  /** Asked for with each entry that changes, hundreds of times a second. */
-  const find = (process: string): Engine | undefined => {
+  /** Called for each changed entry, hundreds of times a second, so it does not scan all servers. */
+  const findEngine = (process: string): Engine | undefined => {
     const server = servers.findUsableByProcess(process)
     const spec = server === undefined ? undefined : cfg.findService(server.service)?.engine
     return spec === undefined ? undefined : engineOf(server!, spec)
   }
-  /** Nothing is to be followed while another instance gives orders. */
-  const isOrdering = (): boolean => leadership.fencingToken() !== undefined
+  /** Whether this instance is the leader; others do not track orders. */
+  const mayOrder = (): boolean => leadership.fencingToken() !== undefined
   const specOf = (model: string): ModelSpec | undefined =>
     [...cfg.current()?.services.values() ?? []].map(service => service.engine?.models.get(model)).find(spec => spec !== undefined)
-  /** Those who follow this instance's list of servers learn it from there. */
-  const tell = ({ server }: Engine, models: readonly LoadedModel[]): void => servers.updateModels(server, models)
-  const done = (engine: Engine, before: PendingOrder, source: string): void => {
-    logger.info('order-done', { server: engine.server.id, operation: before.operation, model: before.model, source, tookMs: Math.round(clock.monotonic() - before.sentMs), expectedMs: before.expectedMs })
-    tell(engine, book.entry(engine.process).models)
-    options.onDone(engine.process, clock.monotonic() - before.sentMs)
+  /** Updates the server list, from which followers of the list learn of the change. */
+  const publishModels = ({ server }: Engine, models: readonly LoadedModel[]): void => servers.updateModels(server, models)
+  const finishOrder = (engine: Engine, pending: PendingOrder, source: string): void => {
+    logger.info('order-done', { server: engine.server.id, operation: pending.operation, model: pending.model, source, tookMs: Math.round(clock.monotonic() - pending.sentMs), expectedMs: pending.expectedMs })
+    publishModels(engine, tracker.get(engine.process).models)
+    options.onOrderDone(engine.process, clock.monotonic() - pending.sentMs)
   }
-  const askReport = async (engine: Engine): Promise<void> => {
+  const requestReport = async (engine: Engine): Promise<void> => {
     const { server, process } = engine
-    if (asking.has(process)) return
-    asking.add(process)
+    if (reportsInFlight.has(process)) return
+    reportsInFlight.add(process)
     const report = await engines.fetchReport(server)
-    asking.delete(process)
+    reportsInFlight.delete(process)
     if (report.err) return logger.debug('engine-report-missing', { server: server.id, reason: report.val })
     if (report.val.bornMs !== undefined && report.val.bornMs !== server.bornMs) return
-    const before = book.entry(process).pending
-    if (!book.takeReport(process, report.val, clock.monotonic())) return
-    if (before !== undefined && book.entry(process).pending === undefined) done(engine, before, 'report')
+    const pending = tracker.get(process).pending
+    if (!tracker.applyReport(process, report.val, clock.monotonic())) return
+    if (pending !== undefined && tracker.get(process).pending === undefined) finishOrder(engine, pending, 'report')
   }
-  const isDue = ({ entry }: Engine): boolean => {
+  const isReportDue = ({ tracked }: Engine): boolean => {
     const now = clock.monotonic()
-    if (now - entry.reportedMs < REPORT_PERIOD_MS) return false
-    if (entry.orders === undefined) return true
-    return entry.pending !== undefined && now - entry.pending.sentMs >= entry.pending.expectedMs
+    if (now - tracked.reportedMs < REPORT_INTERVAL_MS) return false
+    if (tracked.acceptedOrders === undefined) return true
+    return tracked.pending !== undefined && now - tracked.pending.sentMs >= tracked.pending.expectedMs
   }
   servers.onEntry(server => {
-    if (!isOrdering()) return
-    const engine = find(serverProcessId(server))
+    if (!mayOrder()) return
+    const engine = findEngine(serverProcessId(server))
     if (engine === undefined) return
-    book.noteCopies(engine.process, server.copies)
-    const { pending } = engine.entry
-    // After a leader was cut off from the store, entries come that were written meanwhile, one after the other. One from
-    // before the order under way would pass for its end, and what it lists for what the engine holds: a model that has
-    // been loaded since would be missing, and the next load be one too many. Reports tell instead.
-    if (pending === undefined || options.storeReachableSinceMs() + CATCH_UP_MS >= pending.sentMs) return
-    const holds = server.models.some(held => held.name === pending.model)
-    if (holds !== (pending.operation === 'load')) return
-    book.noteDone(engine.process, server.models)
-    done(engine, pending, 'entry')
+    tracker.recordCopies(engine.process, server.copies)
+    const { pending } = engine.tracked
+    // After the store was unreachable, entries written meanwhile arrive one after the other. One from before the pending
+    // order could be mistaken for its completion, and would lack a model that was loaded since: the next load would then
+    // exceed the engine's memory. Completion is taken from reports instead.
+    if (pending === undefined || options.storeReachableSinceMs() + STORE_CATCH_UP_MS >= pending.sentMs) return
+    const hasModel = server.models.some(loaded => loaded.name === pending.model)
+    if (hasModel !== (pending.operation === 'load')) return
+    tracker.recordDone(engine.process, server.models)
+    finishOrder(engine, pending, 'entry')
   })
 
-  /** An order counts as on its way from this call on: two plans of one moment would else both send it. */
-  const serially = <T> (process: string, task: (engine: Engine) => Promise<T>, otherwise: T): Promise<T> => {
-    addCount(sending, process, 1)
+  /**
+   * Counts an order as in flight from this call on, since two plans made at the same moment would otherwise both send
+   * it.
+   */
+  const enqueue = <T> (process: string, task: (engine: Engine) => Promise<T>, fallback: T): Promise<T> => {
+    addCount(ordersInFlight, process, 1)
     const run = async (): Promise<T> => {
-      const engine = find(process)
+      const engine = findEngine(process)
       try {
-        return engine === undefined ? otherwise : await task(engine)
+        return engine === undefined ? fallback : await task(engine)
       } finally {
-        addCount(sending, process, -1)
+        addCount(ordersInFlight, process, -1)
       }
     }
     const next = (queues.get(process) ?? Promise.resolve()).then(run)
     queues.set(process, next)
     return next
   }
-  const send = async ({ server, entry }: Engine, order: Pick<EngineOrder, 'operation' | 'model' | 'adapter'>, tier?: WeightTier): Promise<OrderOutcome> => {
+  const sendOrder = async ({ server, tracked }: Engine, order: Pick<EngineOrder, 'operation' | 'model' | 'adapter'>, tier?: WeightTier): Promise<OrderOutcome> => {
     const fence = leadership.fencingToken()
-    if (fence === undefined || entry.orders === undefined) return 'refused'
-    const outcome = await engines.sendOrder(server, { ...order, expectedOrders: entry.orders, holder: self, fence })
-    logger.info('order-sent', { server: server.id, operation: order.operation, model: order.model, adapter: order.adapter, tier, expectedOrders: entry.orders, fence, outcome })
+    if (fence === undefined || tracked.acceptedOrders === undefined) return 'refused'
+    const outcome = await engines.sendOrder(server, { ...order, expectedOrders: tracked.acceptedOrders, holder: self, fence })
+    logger.info('order-sent', { server: server.id, operation: order.operation, model: order.model, adapter: order.adapter, tier, expectedOrders: tracked.acceptedOrders, fence, outcome })
     return outcome
   }
-  const sendAdapter = (process: string, operation: 'load' | 'unload', model: string, adapter: string): Promise<boolean> => serially(process, async engine => {
-    const hasIt = engine.entry.models.some(held => held.name === model && held.adapters.includes(adapter))
-    if (hasIt === (operation === 'load')) return true
-    // Two requests may have chosen the same last place: an engine with one adapter too many crashes.
-    if (operation === 'load' && adapterPlacesTaken(engine.entry) >= engine.spec.adapterCapacity) return false
-    const outcome = await send(engine, { operation, model, adapter })
+  const sendAdapterOrder = (process: string, operation: 'load' | 'unload', model: string, adapter: string): Promise<boolean> => enqueue(process, async engine => {
+    const isLoaded = engine.tracked.models.some(loaded => loaded.name === model && loaded.adapters.includes(adapter))
+    if (isLoaded === (operation === 'load')) return true
+    // Two requests may have chosen the same last free capacity; an engine with one adapter too many crashes.
+    if (operation === 'load' && usedAdapterCapacity(engine.tracked) >= engine.spec.adapterCapacity) return false
+    const outcome = await sendOrder(engine, { operation, model, adapter })
     if (outcome !== 'accepted' && outcome !== 'holds-already') {
-      // While a model is being loaded an engine turns back every other order; the count stands.
-      if (engine.entry.pending === undefined) book.doubt(process)
+      // An engine that is loading a model rejects every other order, and its number of accepted orders stays the same.
+      if (engine.tracked.pending === undefined) tracker.forgetAcceptedOrders(process)
       return false
     }
-    // It was there before; whether the order was counted is not said.
-    if (operation === 'load' && outcome === 'holds-already') book.doubt(process)
-    if (operation === 'load') book.noteAdapterLoaded(process, model, adapter)
-    else book.noteAdapterUnloaded(process, model, adapter)
-    if (operation === 'load') await sleep(clock, ADAPTER_READY_MS)
-    tell(engine, book.entry(process).models)
+    // The adapter was already loaded; the reply does not say whether the order was counted.
+    if (operation === 'load' && outcome === 'holds-already') tracker.forgetAcceptedOrders(process)
+    if (operation === 'load') tracker.recordAdapterLoaded(process, model, adapter)
+    else tracker.recordAdapterUnloaded(process, model, adapter)
+    if (operation === 'load') await sleep(clock, ADAPTER_LOAD_MS)
+    publishModels(engine, tracker.get(process).models)
     return true
   }, false)
 
   return {
-    book,
-    all,
+    tracker,
+    listEngines,
     specOf,
-    isSending: process => sending.has(process),
-    mayTry: ({ process, entry }) => {
-      if (entry.orders === undefined || sending.has(process)) return false
-      if (entry.pending === undefined) return true
-      if (entry.pending.operation === 'load') return false
-      const sinceMs = clock.monotonic() - entry.pending.sentMs
-      const periodMs = sinceMs < QUICK_TRIES_MS ? TRY_PERIOD_MS : SLOW_TRY_PERIOD_MS
-      return sinceMs >= FIRST_TRY_MS && clock.monotonic() - (triedMs.get(process) ?? -Infinity) >= periodMs
+    hasOrderInFlight: process => ordersInFlight.has(process),
+    mayTryNextOrder: ({ process, tracked }) => {
+      if (tracked.acceptedOrders === undefined || ordersInFlight.has(process)) return false
+      if (tracked.pending === undefined) return true
+      if (tracked.pending.operation === 'load') return false
+      const sinceMs = clock.monotonic() - tracked.pending.sentMs
+      const intervalMs = sinceMs < SLOW_TRIES_AFTER_MS ? TRY_INTERVAL_MS : SLOW_TRY_INTERVAL_MS
+      return sinceMs >= FIRST_TRY_DELAY_MS && clock.monotonic() - (lastTryMs.get(process) ?? -Infinity) >= intervalMs
     },
-    load: (process, model, tier, expectedMs) => serially(process, async engine => {
-      // An engine that loads the model already accepts the order once more, and counts it once.
-      if (engine.entry.pending?.operation === 'load') return
-      triedMs.set(process, clock.monotonic())
-      const isTry = engine.entry.pending !== undefined
-      const outcome = await send(engine, { operation: 'load', model }, tier)
-      // One that nobody answered may begin as well: it counts as begun.
+    load: (process, model, tier, expectedMs) => enqueue(process, async engine => {
+      // An engine that is already loading the model accepts the order again but counts it once.
+      if (engine.tracked.pending?.operation === 'load') return
+      lastTryMs.set(process, clock.monotonic())
+      const isEarlyTry = engine.tracked.pending !== undefined
+      const outcome = await sendOrder(engine, { operation: 'load', model }, tier)
+      // An unanswered load may begin as well, so it counts as begun.
       if (tier === 'store' && (outcome === 'accepted' || outcome === 'unanswered')) options.onStoreLoad(process)
-      if (outcome === 'accepted') return book.noteAccepted(process, { operation: 'load', model, sentMs: clock.monotonic(), expectedMs })
-      if (!isTry || outcome !== 'conflict') book.doubt(process)
+      if (outcome === 'accepted') return tracker.recordAccepted(process, { operation: 'load', model, sentMs: clock.monotonic(), expectedMs })
+      if (!isEarlyTry || outcome !== 'conflict') tracker.forgetAcceptedOrders(process)
     }, undefined),
-    unload: (process, model) => serially(process, async engine => {
-      if (engine.entry.pending !== undefined) return
-      // Requests go elsewhere from now on: those that come in meanwhile would be turned back.
-      tell(engine, engine.entry.models.filter(held => held.name !== model))
-      const outcome = await send(engine, { operation: 'unload', model })
-      if (outcome === 'accepted') return book.noteAccepted(process, { operation: 'unload', model, sentMs: clock.monotonic(), expectedMs: UNLOAD_MS })
-      book.doubt(process)
-      tell(engine, engine.entry.models)
+    unload: (process, model) => enqueue(process, async engine => {
+      if (engine.tracked.pending !== undefined) return
+      // Routes requests to other engines before the order is sent: the engine would reject those that arrive meanwhile.
+      publishModels(engine, engine.tracked.models.filter(loaded => loaded.name !== model))
+      const outcome = await sendOrder(engine, { operation: 'unload', model })
+      if (outcome === 'accepted') return tracker.recordAccepted(process, { operation: 'unload', model, sentMs: clock.monotonic(), expectedMs: EXPECTED_UNLOAD_MS })
+      tracker.forgetAcceptedOrders(process)
+      publishModels(engine, engine.tracked.models)
     }, undefined),
-    loadAdapter: (process, model, adapter) => sendAdapter(process, 'load', model, adapter),
-    unloadAdapter: (process, model, adapter) => sendAdapter(process, 'unload', model, adapter),
-    isWaiting: () => isOrdering() && (sending.size > 0 || book.isAnyPending()),
-    askReports: () => {
-      const known = all()
-      book.keep(known.map(engine => engine.process))
-      known.filter(isDue).forEach(engine => { askReport(engine) })
+    loadAdapter: (process, model, adapter) => sendAdapterOrder(process, 'load', model, adapter),
+    unloadAdapter: (process, model, adapter) => sendAdapterOrder(process, 'unload', model, adapter),
+    hasPendingOrders: () => mayOrder() && (ordersInFlight.size > 0 || tracker.hasPending()),
+    requestReports: () => {
+      const listed = listEngines()
+      tracker.retainOnly(listed.map(engine => engine.process))
+      listed.filter(isReportDue).forEach(engine => { requestReport(engine) })
     }
   }
 }
--- a/packages/magnoliabay/src/node/serving/placement/placementController.ts
+++ b/packages/magnoliabay/src/node/serving/placement/placementController.ts
@@ -1,5 +1,5 @@
 /**
- * The instance that gives orders to engines: hears what is wanted, plans what is loaded where, and has it ordered.
+ * Runs on the leader: takes placement requests, plans which models are loaded on which engines, and sends the orders.
  */
 import type { Clock } from '../../clock'
 import { sleep, delayToNextPeriod } from '../../clock'
@@ -12,38 +12,46 @@
 import type { FleetView } from '../fleetView'
 import type { ServerList } from '../serverList'
 import type { EngineSpec, ModelSpec } from '../types'
-import { chooseAdapterPlace, spareAdapters } from './adapterPlacement'
-import type { AdapterHolder } from './adapterPlacement'
-import { freeWeightsMb } from './engineStates'
+import { chooseAdapterPlacement, planAdapterPreloads } from './adapterPlacement'
+import type { EngineAdapters } from './adapterPlacement'
+import { freeWeightsMb } from './engineTracker'
 import { createEngineOrders } from './engineOrders'
 import type { Engine } from './engineOrders'
 import type { LeaderElection } from './leaderElection'
 import { placementCall } from './messages'
 import type { PlacementReply, PlacementRequest } from './messages'
 import { planSteps, tierOf } from './plan'
-import type { EnginePlan, ModelNeed, PlanStep, WeightTier } from './plan'
+import type { EngineSnapshot, ModelNeed, PlanStep, WeightTier } from './plan'
 import { createWeightLoadLimiter } from './weightLoadLimiter'
 
-/** How often the plan is made anew, milliseconds; a waiting request and the end of an order make it at once. */
-const TICK_MS = 100
-/** How often free places are filled with adapters that nobody has asked for, milliseconds. */
-const SPARE_PERIOD_MS = 500
-/** Two plans are at least so far apart, milliseconds. */
-const MIN_STEP_MS = 25
-/** How often one who does not lead looks whether it does, milliseconds: each look wakes the process. */
-const REST_MS = 250
-/** A want that is not repeated counts no more. */
-const WANT_KEPT_MS = 1200
-/** An engine that was emptied for a model and has not got it by then is free for others. */
-const MAX_PROMISE_MS = 15_000
-/** A swap of models on one engine, milliseconds: unload and load from disk. */
-const SWAP_MS = 2000
-/** An engine that says nothing to so many instances holds nothing that anybody can use. */
-const UNSOUND_TELLERS = 2
-/** A load from the weight store is worth it for a crowd that stays, not for one that has gone before it ends, milliseconds. */
-const STEADY_MS = 2000
-/** When an adapter that could not be ordered now is worth asking for again, milliseconds. */
-const ADAPTER_RETRY_MS = 250
+/** Interval between plans, milliseconds; a new placement request or the end of an order triggers a plan earlier. */
+const PLAN_INTERVAL_MS = 100
+/** Interval at which free adapter capacity is filled with adapters that were not requested, milliseconds. */
+const ADAPTER_PRELOAD_INTERVAL_MS = 500
+/** Shortest time between two plans, milliseconds. */
+const MIN_PLAN_INTERVAL_MS = 25
+/**
+ * Interval at which an instance that is not the leader checks whether it is, milliseconds; each check wakes the
+ * process.
+ */
+const LEASE_CHECK_INTERVAL_MS = 250
+/** Time after which a placement request that is not repeated is dropped, milliseconds. */
+const REQUEST_TTL_MS = 1200
+/**
+ * Time after which an engine that was reserved for a model and has not loaded it is available to others, milliseconds.
+ */
+const MAX_RESERVATION_MS = 15_000
+/** Expected duration of a swap of models on one engine, milliseconds: an unload and a load from disk. */
+const MODEL_SWAP_MS = 2000
+/** Number of instances that must report an engine as silent before its models count as unavailable. */
+const MIN_SILENCE_REPORTS = 2
+/**
+ * Averaging time of requests in flight, milliseconds: a load from the weight store pays off only for demand that
+ * outlasts it.
+ */
+const IN_FLIGHT_AVERAGE_MS = 2000
+/** Delay after which a caller retries an adapter that could not be ordered, milliseconds. */
+const ADAPTER_RETRY_DELAY_MS = 250
 
 export interface PlacementControllerOptions {
   self: string
@@ -57,43 +65,43 @@
   peers: Peers
   clock: Clock
   logger: Logger
-  /** Loads from the weight store are counted in this window, milliseconds. */
+  /** Window in which loads from the weight store are counted, milliseconds. */
   loadWindowMs: number
 }
 
-interface Want {
+interface OpenRequest {
   sinceMs: number
-  /** Monotonic milliseconds until which it counts. */
+  /** Expiry time, monotonic milliseconds. */
   untilMs: number
 }
 
-/** What an engine is being emptied for, or loads. */
-interface Promised {
+/** The model for which an engine is reserved, until it is loaded. */
+interface EngineReservation {
   model: string
-  /** Still to be unloaded for it. */
-  victims: readonly string[]
+  /** Models that are still to be unloaded first. */
+  modelsToUnload: readonly string[]
   sinceMs: number
 }
 
 export interface PlacementController {
-  /** Whether the end of an order is awaited. */
+  /** Whether this instance may order and any order is queued, in flight or pending. */
   hasPendingOrders (): boolean
   start (signal: AbortSignal): void
-  want (req: PlacementRequest): Promise<PlacementReply>
+  requestModel (req: PlacementRequest): Promise<PlacementReply>
 }
 
 export function createPlacementController (options: PlacementControllerOptions): PlacementController {
-  const { leadership, cfg, table, peers, clock, logger } = options
-  const wants = new Map<string, Want>()
+  const { leadership, cfg, table: fleetView, peers, clock, logger } = options
+  const openRequests = new Map<string, OpenRequest>()
   const lastActiveMs = new Map<string, number>()
-  /** Of requests under way for each model. */
-  const averages = new Map<string, DecayingAverage>()
-  const promised = new Map<string, Promised>()
+  /** Average requests in flight for each model. */
+  const inFlightAverages = new Map<string, DecayingAverage>()
+  const reservations = new Map<string, EngineReservation>()
   const engineSpecs = (): EngineSpec[] => [...cfg.current()?.services.values() ?? []].flatMap(service => service.engine ?? [])
-  let known: { version: number, specs: ReadonlyMap<string, ModelSpec> } | undefined
+  let specCache: { version: number, specs: ReadonlyMap<string, ModelSpec> } | undefined
   const specs = (): ReadonlyMap<string, ModelSpec> => {
-    if (known?.version !== cfg.version()) known = { version: cfg.version(), specs: new Map(engineSpecs().flatMap(spec => [...spec.models])) }
-    return known!.specs
+    if (specCache?.version !== cfg.version()) specCache = { version: cfg.version(), specs: new Map(engineSpecs().flatMap(spec => [...spec.models])) }
+    return specCache!.specs
   }
   const storeLoads = createWeightLoadLimiter({
     windowMs: options.loadWindowMs,
@@ -101,252 +109,252 @@
   })
   const orders = createEngineOrders({
     ...options,
-    onDone: (process, tookMs) => {
-      storeLoads.noteEnded(process, tookMs, storeLoadMs())
-      tickSoon()
+    onOrderDone: (process, tookMs) => {
+      storeLoads.recordEnd(process, tookMs, storeLoadMs())
+      schedulePlan()
     },
-    onStoreLoad: process => storeLoads.noteBegun(process, clock.monotonic())
+    onStoreLoad: process => storeLoads.recordStart(process, clock.monotonic())
   })
-  const { book } = orders
-  /** What a load from the weight store takes alone, milliseconds; models differ little. */
+  const { tracker } = orders
+  /** Duration of a load from the weight store without contention, milliseconds; models differ little. */
   const storeLoadMs = (): number => Math.max(1, ...[...specs().values()].slice(0, 1).map(spec => spec.loadMs.store))
-  /** What a load takes that begins now, or behind so many others from the weight store, milliseconds. */
-  const loadMsOf = (model: string, tier: WeightTier, ahead = 0): number =>
-    (orders.specOf(model)?.loadMs[tier] ?? SWAP_MS) * (tier === 'store' ? storeLoads.slowness(ahead) : 1)
-  let ledFence: number | undefined
-  let isTicking = false
-  let isDue = false
-  let steppedMs = -Infinity
-  let sparedMs = -Infinity
+  /** Expected duration of a load that begins now, or behind `loadsAhead` others from the weight store, milliseconds. */
+  const expectedLoadMs = (model: string, tier: WeightTier, loadsAhead = 0): number =>
+    (orders.specOf(model)?.loadMs[tier] ?? MODEL_SWAP_MS) * (tier === 'store' ? storeLoads.slowdownFactor(loadsAhead) : 1)
+  let lastFence: number | undefined
+  let isPlanning = false
+  let isPlanScheduled = false
+  let lastPlanMs = -Infinity
+  let lastPreloadMs = -Infinity
 
   const load = (engine: Engine, model: string): void => {
-    const tier = tierOf(engine.entry, model)
-    orders.load(engine.process, model, tier, loadMsOf(model, tier))
+    const tier = tierOf(engine.tracked, model)
+    orders.load(engine.process, model, tier, expectedLoadMs(model, tier))
   }
-  const handlers: Record<PlanStep['kind'], (step: PlanStep, engine: Engine) => void> = {
+  const stepHandlers: Record<PlanStep['kind'], (step: PlanStep, engine: Engine) => void> = {
     load: (step, engine) => {
-      promised.set(engine.process, { model: step.model, victims: [], sinceMs: clock.monotonic() })
+      reservations.set(engine.process, { model: step.model, modelsToUnload: [], sinceMs: clock.monotonic() })
       load(engine, step.model)
     },
     unload: (step, engine) => {
-      if (step.kind === 'unload') promised.set(engine.process, { model: step.inFavourOf, victims: step.alsoUnload, sinceMs: clock.monotonic() })
+      if (step.kind === 'unload') reservations.set(engine.process, { model: step.inFavourOf, modelsToUnload: step.alsoUnload, sinceMs: clock.monotonic() })
       orders.unload(engine.process, step.model)
     }
   }
-  const carryOut = (step: PlanStep): void => {
-    logger.info('placement-step', { step: step.kind, engine: step.engine, model: step.model, why: step.kind === 'load' ? `${step.reason} from ${step.tier}` : `for ${step.inFavourOf}`, waiting: wants.size })
-    const engine = orders.all().find(({ process }) => process === step.engine)
-    if (engine !== undefined) handlers[step.kind](step, engine)
+  const executeStep = (step: PlanStep): void => {
+    logger.info('placement-step', { step: step.kind, engine: step.engine, model: step.model, why: step.kind === 'load' ? `${step.reason} from ${step.tier}` : `for ${step.inFavourOf}`, waiting: openRequests.size })
+    const engine = orders.listEngines().find(({ process }) => process === step.engine)
+    if (engine !== undefined) stepHandlers[step.kind](step, engine)
   }
 
-  const isFree = ({ process, entry }: Engine): boolean =>
-    entry.orders !== undefined && entry.pending === undefined && !orders.isSending(process) && !promised.has(process)
-  /** Until the engine has done what it was ordered and promised, milliseconds. */
-  const busyMs = ({ process, entry }: Engine): number => {
+  const isIdle = ({ process, tracked }: Engine): boolean =>
+    tracked.acceptedOrders !== undefined && tracked.pending === undefined && !orders.hasOrderInFlight(process) && !reservations.has(process)
+  /** Time until the engine has finished its pending order and its reservation, milliseconds. */
+  const remainingMs = ({ process, tracked }: Engine): number => {
     const now = clock.monotonic()
-    const pendingMs = entry.pending === undefined ? 0 : Math.max(100, entry.pending.expectedMs - (now - entry.pending.sentMs))
-    const promise = promised.get(process)
-    const isLoadAhead = promise !== undefined && entry.pending?.operation !== 'load'
-    const loadMs = isLoadAhead ? loadMsOf(promise.model, tierOf(entry, promise.model)) : 0
+    const pendingMs = tracked.pending === undefined ? 0 : Math.max(100, tracked.pending.expectedMs - (now - tracked.pending.sentMs))
+    const reservation = reservations.get(process)
+    const isLoadAhead = reservation !== undefined && tracked.pending?.operation !== 'load'
+    const loadMs = isLoadAhead ? expectedLoadMs(reservation.model, tierOf(tracked, reservation.model)) : 0
     return pendingMs + loadMs
   }
-  /** What an engine holds or gets, less what it is being emptied of. */
-  const modelsOf = ({ process, entry }: Engine): readonly string[] => {
-    const promise = promised.get(process)
-    const held = entry.models.map(model => model.name).filter(model => promise === undefined || !promise.victims.includes(model))
-    const coming = [entry.pending?.operation === 'load' ? entry.pending.model : undefined, promise?.model]
-      .filter((model): model is string => model !== undefined && !held.includes(model))
-    return [...held, ...new Set(coming)]
+  /** Models that an engine has or will load, without those that it is to unload. */
+  const plannedModels = ({ process, tracked }: Engine): readonly string[] => {
+    const reservation = reservations.get(process)
+    const loaded = tracked.models.map(model => model.name).filter(model => reservation === undefined || !reservation.modelsToUnload.includes(model))
+    const coming = [tracked.pending?.operation === 'load' ? tracked.pending.model : undefined, reservation?.model]
+      .filter((model): model is string => model !== undefined && !loaded.includes(model))
+    return [...loaded, ...new Set(coming)]
   }
-  const planOf = (engine: Engine): EnginePlan => {
-    const { process, entry, spec, server } = engine
-    const models = modelsOf(engine)
+  const snapshotOf = (engine: Engine): EngineSnapshot => {
+    const { process, tracked, spec, server } = engine
+    const models = plannedModels(engine)
     return {
       id: process,
       models,
-      freeMb: freeWeightsMb(entry, spec),
-      busyMs: isFree(engine) ? 0 : Math.max(1, busyMs(engine)),
-      isFetching: storeLoads.isLoading(process),
-      // One instance may have lost its own path to the engine; two have not.
-      isSound: (entry.orders !== undefined || entry.models.length > 0) && table.silenceReportCount(process) < UNSOUND_TELLERS,
-      copies: entry.copies,
-      inFlight: new Map(models.map(model => [model, table.inFlight(process, model)])),
+      freeMb: freeWeightsMb(tracked, spec),
+      busyMs: isIdle(engine) ? 0 : Math.max(1, remainingMs(engine)),
+      isLoadingFromStore: storeLoads.isLoading(process),
+      // A single instance may have lost its own path to the engine, so reports from two are needed.
+      isResponding: (tracked.acceptedOrders !== undefined || tracked.models.length > 0) && fleetView.silenceReportCount(process) < MIN_SILENCE_REPORTS,
+      copies: tracked.copies,
+      inFlight: new Map(models.map(model => [model, fleetView.inFlight(process, model)])),
       slots: server.slots
     }
   }
-  const steadyInFlight = (model: string, inFlight: number): number => {
-    const average = averages.get(model) ?? createDecayingAverage(STEADY_MS)
-    averages.set(model, average)
+  const averageInFlightOf = (model: string, inFlight: number): number => {
+    const average = inFlightAverages.get(model) ?? createDecayingAverage(IN_FLIGHT_AVERAGE_MS)
+    inFlightAverages.set(model, average)
     return average.update(inFlight, clock.monotonic())
   }
   const needOf = (model: string): ModelNeed => {
     const now = clock.monotonic()
-    const demand = table.demand(model)
-    const want = wants.get(model)
-    const inFlight = table.inFlightOfModel(model)
-    const waiting = Math.max(demand.waiting, want === undefined ? 0 : 1)
+    const demand = fleetView.demand(model)
+    const openRequest = openRequests.get(model)
+    const inFlight = fleetView.inFlightOfModel(model)
+    const waiting = Math.max(demand.waiting, openRequest === undefined ? 0 : 1)
     if (inFlight + waiting > 0) lastActiveMs.set(model, now)
     return {
       model,
       rate: demand.rate,
       waiting,
-      waitedMs: want === undefined ? 0 : now - want.sinceMs,
+      waitedMs: openRequest === undefined ? 0 : now - openRequest.sinceMs,
       inFlight,
-      steadyInFlight: steadyInFlight(model, inFlight),
+      averageInFlight: averageInFlightOf(model, inFlight),
       idleMs: now - (lastActiveMs.get(model) ?? -Infinity)
     }
   }
-  /** Engines that were emptied for a model get it as soon as they take the order. */
-  const keepPromise = (engine: Engine): void => {
-    const { process, entry, spec } = engine
-    const promise = promised.get(process)
-    if (promise === undefined) return
+  /** Sends the next order of an engine's reservation as soon as the engine may accept it. */
+  const continueReservation = (engine: Engine): void => {
+    const { process, tracked, spec } = engine
+    const reservation = reservations.get(process)
+    if (reservation === undefined) return
     const now = clock.monotonic()
-    if (entry.models.some(held => held.name === promise.model) || now - promise.sinceMs > MAX_PROMISE_MS) {
-      promised.delete(process)
+    if (tracked.models.some(loaded => loaded.name === reservation.model) || now - reservation.sinceMs > MAX_RESERVATION_MS) {
+      reservations.delete(process)
       return
     }
-    if (!orders.mayTry(engine)) return
-    const [victim, ...victims] = promise.victims
-    if (victim !== undefined) {
-      if (entry.pending !== undefined) return
-      promised.set(process, { ...promise, victims })
-      orders.unload(process, victim)
+    if (!orders.mayTryNextOrder(engine)) return
+    const [nextModel, ...remainingModels] = reservation.modelsToUnload
+    if (nextModel !== undefined) {
+      if (tracked.pending !== undefined) return
+      reservations.set(process, { ...reservation, modelsToUnload: remainingModels })
+      orders.unload(process, nextModel)
       return
     }
-    const weightsMb = orders.specOf(promise.model)?.weightsMb ?? Infinity
-    // What an unload under way frees counts here: the engine turns the load back until it is free.
-    const freedMb = entry.pending?.operation === 'unload' ? orders.specOf(entry.pending.model)?.weightsMb ?? 0 : 0
-    const isShort = freeWeightsMb(entry, spec) + freedMb < weightsMb
-    if (isShort || (tierOf(entry, promise.model) === 'store' && storeLoads.left(now) === 0)) {
-      if (entry.pending === undefined) promised.delete(process)
+    const weightsMb = orders.specOf(reservation.model)?.weightsMb ?? Infinity
+    // Memory that a pending unload frees is counted: the engine rejects the load until it is free.
+    const freedMb = tracked.pending?.operation === 'unload' ? orders.specOf(tracked.pending.model)?.weightsMb ?? 0 : 0
+    const isShort = freeWeightsMb(tracked, spec) + freedMb < weightsMb
+    if (isShort || (tierOf(tracked, reservation.model) === 'store' && storeLoads.remaining(now) === 0)) {
+      if (tracked.pending === undefined) reservations.delete(process)
       return
     }
-    load(engine, promise.model)
+    load(engine, reservation.model)
   }
-  const begin = (fence: number): void => {
-    // Another instance ordered before: everything is asked anew.
-    ledFence = fence
-    book.clear()
-    promised.clear()
-    storeLoads.assumeEarlier(clock.monotonic())
-    logger.info('orderer-begins', { fence, engines: orders.all().length })
+  const beginTerm = (fence: number): void => {
+    // Another instance may have given orders before, so the state of all engines is requested again.
+    lastFence = fence
+    tracker.clear()
+    reservations.clear()
+    storeLoads.assumeEarlierLoads(clock.monotonic())
+    logger.info('orderer-begins', { fence, engines: orders.listEngines().length })
   }
-  const step = (): void => {
+  const runPlan = (): void => {
     const fence = leadership.fencingToken()
-    // A pause of the same term changes nothing of what is known: nobody else has ordered meanwhile. One that may order
-    // at once may not know yet what there is.
+    // After a pause within the same term the known state is still valid, since no other instance has given orders
+    // meanwhile. An instance that may order at once may not have the configuration and the servers yet.
     if (fence === undefined || cfg.current() === undefined || !options.servers.isKnown()) return
-    if (ledFence !== fence) begin(fence)
+    if (lastFence !== fence) beginTerm(fence)
     const now = clock.monotonic()
-    wants.forEach((want, model) => { if (now > want.untilMs) wants.delete(model) })
-    orders.askReports()
-    orders.all().forEach(keepPromise)
-    const plans = orders.all().map(planOf)
-    const names = new Set([...table.modelsInDemand(), ...wants.keys(), ...plans.flatMap(plan => plan.models)])
+    openRequests.forEach((openRequest, model) => { if (now > openRequest.untilMs) openRequests.delete(model) })
+    orders.requestReports()
+    orders.listEngines().forEach(continueReservation)
+    const snapshots = orders.listEngines().map(snapshotOf)
+    const names = new Set([...fleetView.modelsInDemand(), ...openRequests.keys(), ...snapshots.flatMap(snapshot => snapshot.models)])
     const needs = [...names].filter(model => !model.includes('/')).map(needOf)
-    planSteps({ engines: plans, needs, specs: specs(), storeLoads: storeLoads.left(now) }).forEach(carryOut)
-    if (now - sparedMs < SPARE_PERIOD_MS) return
-    sparedMs = now
-    loadSpareAdapters()
+    planSteps({ engines: snapshots, needs, specs: specs(), allowedStoreLoads: storeLoads.remaining(now) }).forEach(executeStep)
+    if (now - lastPreloadMs < ADAPTER_PRELOAD_INTERVAL_MS) return
+    lastPreloadMs = now
+    preloadAdapters()
   }
-  /** Orders that end and models that are asked for come in hundreds a second: a plan serves all of a moment. */
-  const tickSoon = (): void => {
-    if (isDue) return
-    isDue = true
-    clock.schedule(Math.max(0, steppedMs + MIN_STEP_MS - clock.monotonic()), () => {
-      isDue = false
-      tick()
+  /** Ended orders and placement requests arrive at hundreds a second, so those of one short interval share a plan. */
+  const schedulePlan = (): void => {
+    if (isPlanScheduled) return
+    isPlanScheduled = true
+    clock.schedule(Math.max(0, lastPlanMs + MIN_PLAN_INTERVAL_MS - clock.monotonic()), () => {
+      isPlanScheduled = false
+      plan()
     })
   }
-  const tick = (): void => {
-    if (isTicking) return
-    steppedMs = clock.monotonic()
-    isTicking = true
+  const plan = (): void => {
+    if (isPlanning) return
+    lastPlanMs = clock.monotonic()
+    isPlanning = true
     try {
-      step()
+      runPlan()
     } finally {
-      isTicking = false
+      isPlanning = false
     }
   }
 
-  const holds = (entry: Engine['entry'], name: string): boolean =>
-    entry.models.some(held => held.adapters.some(adapter => `${held.name}/${adapter}` === name))
-  const adapterHolder = ({ process, spec, entry }: Engine): AdapterHolder => ({
+  const hasAdapter = (tracked: Engine['tracked'], name: string): boolean =>
+    tracked.models.some(loaded => loaded.adapters.some(adapter => `${loaded.name}/${adapter}` === name))
+  const engineAdaptersOf = ({ process, spec, tracked }: Engine): EngineAdapters => ({
     id: process,
-    load: entry.models.reduce((sum, held) => sum + table.inFlight(process, held.name), 0),
-    places: spec.adapterCapacity,
-    models: entry.models.map(held => held.name),
+    load: tracked.models.reduce((sum, loaded) => sum + fleetView.inFlight(process, loaded.name), 0),
+    adapterCapacity: spec.adapterCapacity,
+    models: tracked.models.map(loaded => loaded.name),
     adapters: [
-      ...entry.models.flatMap(held => held.adapters.map(adapter => ({
-        model: held.name,
+      ...tracked.models.flatMap(loaded => loaded.adapters.map(adapter => ({
+        model: loaded.name,
         adapter,
-        rate: table.demand(`${held.name}/${adapter}`).rate,
-        isInUse: table.inFlight(process, `${held.name}/${adapter}`) > 0
+        rate: fleetView.demand(`${loaded.name}/${adapter}`).rate,
+        isInUse: fleetView.inFlight(process, `${loaded.name}/${adapter}`) > 0
       }))),
-      ...entry.adaptersOnTheWay.filter(name => !holds(entry, name)).map(name => ({ model: name.split('/')[0]!, adapter: name.split('/')[1] ?? '', rate: Infinity, isInUse: true }))
+      ...tracked.loadingAdapters.filter(name => !hasAdapter(tracked, name)).map(name => ({ model: name.split('/')[0]!, adapter: name.split('/')[1] ?? '', rate: Infinity, isInUse: true }))
     ]
   })
-  /** Fills free places with adapters that nobody has yet, so that their first request finds them. */
-  const loadSpareAdapters = (): void => {
-    const free = orders.all().filter(isFree)
-    const namesOf = (model: string): readonly string[] => orders.specOf(model)?.adapters ?? []
-    spareAdapters(orders.all().map(adapterHolder), free.map(engine => engine.process), namesOf)
+  /** Fills free capacity with adapters that no engine has, so that they are loaded before their first request. */
+  const preloadAdapters = (): void => {
+    const idleEngines = orders.listEngines().filter(isIdle)
+    const adaptersOf = (model: string): readonly string[] => orders.specOf(model)?.adapters ?? []
+    planAdapterPreloads(orders.listEngines().map(engineAdaptersOf), idleEngines.map(engine => engine.process), adaptersOf)
       .forEach(({ id, model, adapter }) => { orders.loadAdapter(id, model, adapter) })
   }
-  const wantAdapter = async (model: string, adapter: string): Promise<PlacementReply> => {
-    const holders = orders.all().filter(engine => engine.entry.models.some(held => held.name === model))
-    const open = holders.filter(engine => engine.entry.orders !== undefined && engine.entry.pending === undefined)
-    const place = chooseAdapterPlace(open.map(adapterHolder), model, adapter)
-    const soonest = Math.min(...holders.map(busyMs))
-    if (place === undefined) return { kind: 'coming', inMs: Math.max(ADAPTER_RETRY_MS, Number.isFinite(soonest) ? soonest : SWAP_MS) }
-    if (place.evict !== undefined && !await orders.unloadAdapter(place.id, place.evict.model, place.evict.adapter)) return { kind: 'coming', inMs: ADAPTER_RETRY_MS }
-    if (!await orders.loadAdapter(place.id, model, adapter)) return { kind: 'coming', inMs: ADAPTER_RETRY_MS }
-    const engine = orders.all().find(({ process }) => process === place.id)
+  const requestAdapter = async (model: string, adapter: string): Promise<PlacementReply> => {
+    const enginesWithModel = orders.listEngines().filter(engine => engine.tracked.models.some(loaded => loaded.name === model))
+    const available = enginesWithModel.filter(engine => engine.tracked.acceptedOrders !== undefined && engine.tracked.pending === undefined)
+    const placement = chooseAdapterPlacement(available.map(engineAdaptersOf), model, adapter)
+    const soonestMs = Math.min(...enginesWithModel.map(remainingMs))
+    if (placement === undefined) return { kind: 'coming', inMs: Math.max(ADAPTER_RETRY_DELAY_MS, Number.isFinite(soonestMs) ? soonestMs : MODEL_SWAP_MS) }
+    if (placement.evict !== undefined && !await orders.unloadAdapter(placement.id, placement.evict.model, placement.evict.adapter)) return { kind: 'coming', inMs: ADAPTER_RETRY_DELAY_MS }
+    if (!await orders.loadAdapter(placement.id, model, adapter)) return { kind: 'coming', inMs: ADAPTER_RETRY_DELAY_MS }
+    const engine = orders.listEngines().find(({ process }) => process === placement.id)
     return engine === undefined ? { kind: 'unavailable' } : { kind: 'ready', server: engine.server.id }
   }
-  const comingMs = (model: string): number | undefined => {
-    const times = orders.all().filter(engine => modelsOf(engine).includes(model)).map(busyMs)
-    return times.length === 0 ? undefined : Math.min(...times)
+  const remainingLoadMs = (model: string): number | undefined => {
+    const remainingTimes = orders.listEngines().filter(engine => plannedModels(engine).includes(model)).map(remainingMs)
+    return remainingTimes.length === 0 ? undefined : Math.min(...remainingTimes)
   }
-  /** Until a model that nothing is ordered for yet could be there, milliseconds. */
-  const queuedMs = (model: string): number => {
-    const engines = orders.all()
-    const placed = new Set(engines.flatMap(modelsOf))
-    const tierFor = (name: string): WeightTier => engines.some(({ entry }) => tierOf(entry, name) !== 'store') ? 'disk' : 'store'
-    const queued = [...wants.keys()].filter(name => name !== model && !placed.has(name))
-    if (tierFor(model) === 'store') return loadMsOf(model, 'store', queued.filter(name => tierFor(name) === 'store').length)
-    return SWAP_MS * (1 + queued.length / Math.max(1, engines.length))
+  /** Estimates the time until a model for which nothing is ordered yet could be loaded, milliseconds. */
+  const estimateQueuedLoadMs = (model: string): number => {
+    const engines = orders.listEngines()
+    const plannedOrLoaded = new Set(engines.flatMap(plannedModels))
+    const tierFor = (name: string): WeightTier => engines.some(({ tracked }) => tierOf(tracked, name) !== 'store') ? 'disk' : 'store'
+    const queued = [...openRequests.keys()].filter(name => name !== model && !plannedOrLoaded.has(name))
+    if (tierFor(model) === 'store') return expectedLoadMs(model, 'store', queued.filter(name => tierFor(name) === 'store').length)
+    return MODEL_SWAP_MS * (1 + queued.length / Math.max(1, engines.length))
   }
-  const wantModel = (req: PlacementRequest, expectedMs = comingMs(req.model) ?? queuedMs(req.model)): PlacementReply => {
+  const requestLoad = (req: PlacementRequest, expectedMs = remainingLoadMs(req.model) ?? estimateQueuedLoadMs(req.model)): PlacementReply => {
     const now = clock.monotonic()
-    const before = wants.get(req.model)
-    const inMs = Math.round(expectedMs)
-    // Whoever is told to come back later must find it then.
-    const keptMs = WANT_KEPT_MS + (inMs > req.patienceMs ? inMs : 0)
-    wants.set(req.model, { sinceMs: Math.min(before?.sinceMs ?? Infinity, now - req.waitedMs), untilMs: Math.max(before?.untilMs ?? 0, now + keptMs) })
-    if (before === undefined) tickSoon()
-    return { kind: 'coming', inMs }
+    const previous = openRequests.get(req.model)
+    const expectedInMs = Math.round(expectedMs)
+    // A caller that is told to retry later must find the model loaded then.
+    const ttlMs = REQUEST_TTL_MS + (expectedInMs > req.patienceMs ? expectedInMs : 0)
+    openRequests.set(req.model, { sinceMs: Math.min(previous?.sinceMs ?? Infinity, now - req.waitedMs), untilMs: Math.max(previous?.untilMs ?? 0, now + ttlMs) })
+    if (previous === undefined) schedulePlan()
+    return { kind: 'coming', inMs: expectedInMs }
   }
-  const want = async (req: PlacementRequest): Promise<PlacementReply> => {
+  const requestModel = async (req: PlacementRequest): Promise<PlacementReply> => {
     const startsInMs = leadership.firstOrderInMs()
     if (startsInMs === undefined) return { kind: 'unavailable' }
-    // Nothing is known of the engines yet: a swap is what most models take, once orders are given again.
-    if (startsInMs > 0) return wantModel(req, startsInMs + SWAP_MS)
-    const isHeld = orders.all().some(({ entry, process }) => table.silenceReportCount(process) < UNSOUND_TELLERS && entry.models.some(held => held.name === req.model))
-    if (req.adapter === undefined || !isHeld) return wantModel(req)
-    return await wantAdapter(req.model, req.adapter)
+    // The state of the engines is not known yet; most models take a swap once orders are given again.
+    if (startsInMs > 0) return requestLoad(req, startsInMs + MODEL_SWAP_MS)
+    const isModelLoaded = orders.listEngines().some(({ tracked, process }) => fleetView.silenceReportCount(process) < MIN_SILENCE_REPORTS && tracked.models.some(loaded => loaded.name === req.model))
+    if (req.adapter === undefined || !isModelLoaded) return requestLoad(req)
+    return await requestAdapter(req.model, req.adapter)
   }
-  peers.serve(placementCall, want)
+  peers.serve(placementCall, requestModel)
 
   return {
-    want,
-    hasPendingOrders: orders.isWaiting,
+    requestModel,
+    hasPendingOrders: orders.hasPendingOrders,
     start: signal => {
       const loop = async (): Promise<void> => {
         while (!signal.aborted) {
-          tick()
-          await sleep(clock, leadership.isLeaseHolder() ? TICK_MS : delayToNextPeriod(clock, REST_MS), signal)
+          plan()
+          await sleep(clock, leadership.isLeaseHolder() ? PLAN_INTERVAL_MS : delayToNextPeriod(clock, LEASE_CHECK_INTERVAL_MS), signal)
         }
       }
       loop()
--- a/packages/magnoliabay/src/node/serving/placement/plan.ts
+++ b/packages/magnoliabay/src/node/serving/placement/plan.ts
@@ -1,156 +1,165 @@
 /**
- * Which models to load and unload next. Pattern: half of the worth lies in models that are each asked for once in
- * half a minute, and of which a fleet of engines holds a third; the other half in a few busy ones, which change.
+ * Plans which models to load and unload next. Expected load: half of the value comes from models that are each requested
+ * once in half a minute, of which the engines together hold a third; the other half comes from a few busy models, which
+ * change over time.
  */
 import type { ModelSpec } from '../types'
 
-/** Where an engine would take a model's weights from, quickest first. */
+/** Where an engine loads a model's weights from, quickest first. */
 export type WeightTier = 'memory' | 'disk' | 'store'
 
-export interface EnginePlan {
+export interface EngineSnapshot {
   id: string
-  /** What it holds or is loading, less what it is unloading. */
+  /** Models that it has loaded or is loading, without those that it is unloading. */
   models: readonly string[]
   freeMb: number
-  /** An order is being carried out; 0 when none is, else milliseconds until it is done. */
+  /** Time until its pending order is done, milliseconds; 0 if it has none. */
   busyMs: number
-  /** What is being carried out is a load from the weight store. */
-  isFetching: boolean
-  isSound: boolean
+  isLoadingFromStore: boolean
+  isResponding: boolean
   copies: { memory: readonly string[], disk: readonly string[] }
-  /** Requests under way for each model. */
+  /** Requests in flight for each model. */
   inFlight: ReadonlyMap<string, number>
   slots: number
 }
 
 export interface ModelNeed {
   model: string
-  /** Requests a second over the fleet. */
+  /** Requests per second over the fleet. */
   rate: number
-  /** Requests that wait since no engine has it. */
+  /** Requests that wait because no engine has the model. */
   waiting: number
-  /** How long the first of them has waited, milliseconds. */
+  /** Time for which the first of them has waited, milliseconds. */
   waitedMs: number
   inFlight: number
-  /** The same, averaged over some seconds. */
-  steadyInFlight: number
-  /** Since the last request, milliseconds. */
+  /** `inFlight` averaged over some seconds. */
+  averageInFlight: number
+  /** Time since the last request, milliseconds. */
   idleMs: number
 }
 
 export interface PlacementPlanInput {
-  engines: readonly EnginePlan[]
+  engines: readonly EngineSnapshot[]
   needs: readonly ModelNeed[]
   specs: ReadonlyMap<string, ModelSpec>
   /** Loads from the weight store that may begin now. */
-  storeLoads: number
+  allowedStoreLoads: number
 }
 
 export type PlanStep =
   | { kind: 'load', engine: string, model: string, tier: WeightTier, reason: 'waiting' | 'more-replicas' }
   | { kind: 'unload', engine: string, model: string, inFavourOf: string, alsoUnload: readonly string[] }
 
-/** Part of an engine's slots that one model's streams may take before it gets another replica. */
-const REPLICA_LOAD_PART = 0.3
+/** Fraction of an engine's slots that one model's streams may take before it gets another replica. */
+const REPLICA_LOAD_RATIO = 0.3
 /**
- * From this part of its engines' slots on, streams of a model are late by what they wait for each other. Each stream
- * beyond counts as much as one that waits for a model that nobody has: where 28 models wait at a time, a busy one would
- * else stay on its one engine, with twenty callers a second, for as long as any of them does.
+ * Fraction of its engines' slots above which a model's streams miss their latency target because they wait for each
+ * other. Each stream above it counts like a request that waits for a model that no engine has: with 28 models waiting at
+ * a time, a busy model with twenty callers per second would otherwise stay on one engine as long as any of them waits.
  */
-const CROWDED_PART = 0.6
-/** A swap takes about so long, and who asks meanwhile is refused, milliseconds. */
-const COMING_MS = 2500
-/** A model that is asked for this often loses several callers a second when its only engine goes, requests a second. */
-const BUSY_RATE = 1.5
-/** An unload without runs under way takes about this long, milliseconds. */
+const CROWDED_RATIO = 0.6
+/**
+ * Approximate duration of a swap, milliseconds; requests that arrive meanwhile are refused, so they count towards
+ * urgency.
+ */
+const ARRIVAL_WINDOW_MS = 2500
+/**
+ * Request rate from which a model gets two replicas: when its only engine ends, several callers per second are refused.
+ */
+const BUSY_REQUESTS_PER_SECOND = 1.5
+/** Approximate duration of an unload with no running requests, milliseconds. */
 const UNLOAD_MS = 100
-/** A run under way holds up an unload for about this long, milliseconds. */
-const RUN_MS = 3500
-/** A model that was asked for within this time is likely to be asked for again, milliseconds. */
-const RECENT_MS = 1500
-/** What a request that finds its model gone costs, in milliseconds of waiting: the time to load it again. */
-const RELOAD_MS = 2000
+/** Approximate time for which a running request delays an unload, milliseconds. */
+const RUNNING_REQUEST_MS = 3500
+/** A model that was requested within this time is likely to be requested again, milliseconds. */
+const RECENT_USE_MS = 1500
+/** Cost of a request whose model was unloaded, in milliseconds of waiting: the time to load it again. */
+const MODEL_RELOAD_MS = 2000
 /**
- * What a load for one waiting request is worth, in milliseconds of waiting, growing by as much again in each further
- * span of `GAIN_DOUBLES_MS`. Where 28 models wait and each has taken an engine, only the last replica of a busy model
- * is left to give up: one request would be served, and each of the twenty that come in a second turned back until the
- * model is loaded again. A model that is asked for less than about once a second may go.
+ * Gain of a load for one waiting request, in milliseconds of waiting; it grows by the same amount in each further
+ * `GAIN_INCREASE_INTERVAL_MS`. The bound protects a busy model when 28 models wait and each has taken an engine, so that
+ * only the busy model's last replica is left to unload: one request would be served, and each of the twenty per second
+ * for the busy model rejected until it is loaded again. A model with less than about one request per second may be
+ * unloaded.
  */
-const GAIN_MS = 5000
-const GAIN_DOUBLES_MS = 4000
+const LOAD_GAIN_MS = 5000
+const GAIN_INCREASE_INTERVAL_MS = 4000
 /**
- * Part of the engines that may be loading replicas from the weight store at once. Such a load takes six seconds and
- * more, in which the engine gives nothing of its own disk; with none at all, a model that became busy stays on its
- * one engine all day, and most of its streams are late.
+ * Fraction of the engines that may load replicas from the weight store at once. Such a load takes six seconds or more,
+ * during which the engine cannot load from its own disk. With no such loads, a model that became busy stays on one
+ * engine all day and most of its streams are late.
  */
-const FETCHING_PART = 1 / 6
+const STORE_LOAD_RATIO = 1 / 6
 /**
- * Such loads begin only while more than this part of the engines have nothing to do: of six engines, each of which takes
- * two seconds to swap a model, eight loads more in a day made patient requests late that a disk could have served
- * (34 of 64 in time became 20).
+ * Replicas are loaded from the weight store only while more than this fraction of the engines is idle. With six engines,
+ * each of which swaps a model in two seconds, eight additional loads in a day delayed patient requests that could have
+ * been served from a disk (20 of 64 in time instead of 34).
  */
-const SPARE_PART = 1 / 2
+const MIN_IDLE_RATIO = 1 / 2
 
-export function tierOf (engine: Pick<EnginePlan, 'copies'>, model: string): WeightTier {
+export function tierOf (engine: Pick<EngineSnapshot, 'copies'>, model: string): WeightTier {
   if (engine.copies.memory.includes(model)) return 'memory'
   return engine.copies.disk.includes(model) ? 'disk' : 'store'
 }
 
-interface Option {
-  engine: EnginePlan
+interface PlacementOption {
+  engine: EngineSnapshot
   tier: WeightTier
-  victims: readonly string[]
-  /** Until the model would be ready, and what the victims' absence costs, milliseconds. */
-  cost: number
+  modelsToUnload: readonly string[]
+  /** Time until the model would be ready plus the cost of the unloaded models, milliseconds of waiting. */
+  costMs: number
 }
 
-/** Models that make room at an engine when given up together. */
-interface VictimSet {
-  victims: readonly string[]
-  /** Until they are unloaded, milliseconds. */
+/** Models that free enough memory on an engine when unloaded together. */
+interface EvictionSet {
+  modelsToUnload: readonly string[]
+  /** Time until they are unloaded, milliseconds. */
   delayMs: number
-  /** What their absence costs, milliseconds of waiting. */
-  lost: number
+  /** Cost of their absence, milliseconds of waiting. */
+  evictionCostMs: number
 }
 
-const NO_VICTIMS: VictimSet = { victims: [], delayMs: 0, lost: 0 }
+const NO_EVICTION: EvictionSet = { modelsToUnload: [], delayMs: 0, evictionCostMs: 0 }
 
-/** The steps to take now, at most one for an engine. */
+/** Returns the steps to take now, at most one per engine. */
 export function planSteps (input: PlacementPlanInput): PlanStep[] {
-  const engines = new Map(input.engines.filter(engine => engine.isSound).map(engine => [engine.id, engine]))
+  const engines = new Map(input.engines.filter(engine => engine.isResponding).map(engine => [engine.id, engine]))
   const engineCount = engines.size
   const needs = new Map(input.needs.map(need => [need.model, need]))
-  let storeLoads = input.storeLoads
+  let storeLoads = input.allowedStoreLoads
   const steps: PlanStep[] = []
   const replicasOf = new Map<string, number>()
-  input.engines.filter(engine => engine.isSound).flatMap(engine => engine.models).forEach(model => replicasOf.set(model, (replicasOf.get(model) ?? 0) + 1))
+  input.engines.filter(engine => engine.isResponding).flatMap(engine => engine.models).forEach(model => replicasOf.set(model, (replicasOf.get(model) ?? 0) + 1))
   const replicas = (model: string): number => replicasOf.get(model) ?? 0
 
-  const take = (option: Option, model: string, reason: 'waiting' | 'more-replicas'): void => {
+  const takeOption = (option: PlacementOption, model: string, reason: 'waiting' | 'more-replicas'): void => {
     engines.delete(option.engine.id)
-    // The best place has an order under way: waiting for it is quicker than any other.
+    // The best engine has a pending order; waiting for its end is quicker than any other engine.
     if (option.engine.busyMs > 0) return
-    const [victim, ...alsoUnload] = option.victims
-    if (victim !== undefined) {
-      steps.push({ kind: 'unload', engine: option.engine.id, model: victim, inFavourOf: model, alsoUnload })
+    const [firstModel, ...alsoUnload] = option.modelsToUnload
+    if (firstModel !== undefined) {
+      steps.push({ kind: 'unload', engine: option.engine.id, model: firstModel, inFavourOf: model, alsoUnload })
       return
     }
     if (option.tier === 'store') storeLoads -= 1
     steps.push({ kind: 'load', engine: option.engine.id, model, tier: option.tier, reason })
   }
-  const victimSetsAt = createVictimSets(input, needs, replicas)
-  /** Looks at each engine and each way to make room there: some hundred thousand a second at 63 engines, so it keeps no lists. */
-  const best = (model: string, maxLost: number): Option | undefined => {
+  const evictionSetsFor = createEvictionSets(input, needs, replicas)
+  /**
+   * Checks each engine and each eviction set: some hundred thousand per second at 63 engines, so no lists are
+   * allocated.
+   */
+  const findBestOption = (model: string, maxEvictionCostMs: number): PlacementOption | undefined => {
     const spec = input.specs.get(model)
     if (spec === undefined) return undefined
-    let found: Option | undefined
+    let found: PlacementOption | undefined
     engines.forEach(engine => {
       const tier = tierOf(engine, model)
       if ((tier === 'store' && storeLoads <= 0) || engine.models.includes(model)) return
       const loadMs = engine.busyMs + spec.loadMs[tier]
-      victimSetsAt(engine, spec.weightsMb).forEach(({ victims, delayMs, lost }) => {
-        const cost = loadMs + delayMs + lost
-        if (lost <= maxLost && (found === undefined || cost < found.cost)) found = { engine, tier, victims, cost }
+      evictionSetsFor(engine, spec.weightsMb).forEach(({ modelsToUnload, delayMs, evictionCostMs: lossMs }) => {
+        const costMs = loadMs + delayMs + lossMs
+        if (lossMs <= maxEvictionCostMs && (found === undefined || costMs < found.costMs)) found = { engine, tier, modelsToUnload, costMs }
       })
     })
     return found
@@ -159,100 +168,103 @@
   const slots = Math.max(1, ...input.engines.map(engine => engine.slots))
   const urgencyOf = (need: ModelNeed): number => replicas(need.model) === 0
     ? urgency(need)
-    : Math.floor(need.steadyInFlight - replicas(need.model) * slots * CROWDED_PART)
+    : Math.floor(need.averageInFlight - replicas(need.model) * slots * CROWDED_RATIO)
   input.needs
     .map(need => ({ need, urgency: urgencyOf(need) }))
     .filter(({ urgency }) => urgency >= 1)
     .sort((left, right) => right.urgency - left.urgency || right.need.waitedMs - left.need.waitedMs)
     .forEach(({ need, urgency }) => {
-      const option = best(need.model, gainOf(urgency, need.waitedMs))
-      if (option !== undefined) take(option, need.model, replicas(need.model) === 0 ? 'waiting' : 'more-replicas')
+      const option = findBestOption(need.model, loadGainMs(urgency, need.waitedMs))
+      if (option !== undefined) takeOption(option, need.model, replicas(need.model) === 0 ? 'waiting' : 'more-replicas')
     })
-  // What is added for a crowd that is not late yet must leave most engines free for what their disks have.
-  const idle = [...engines.values()].filter(engine => engine.busyMs === 0).length
-  const hasSpare = idle > engineCount * SPARE_PART
-  let fetches = hasSpare ? Math.max(1, Math.floor(engineCount * FETCHING_PART)) - input.engines.filter(engine => engine.isFetching).length : 0
+  // Replicas for streams that are not late yet must leave most engines free for loads from their own disks.
+  const idleEngines = [...engines.values()].filter(engine => engine.busyMs === 0).length
+  const hasEnoughIdle = idleEngines > engineCount * MIN_IDLE_RATIO
+  let replicaStoreLoads = hasEnoughIdle ? Math.max(1, Math.floor(engineCount * STORE_LOAD_RATIO)) - input.engines.filter(engine => engine.isLoadingFromStore).length : 0
   input.needs
-    .filter(need => replicas(need.model) > 0 && replicas(need.model) < wantedReplicas(need, input.engines))
+    .filter(need => replicas(need.model) > 0 && replicas(need.model) < desiredReplicas(need, input.engines))
     .sort((left, right) => right.inFlight - left.inFlight)
     .forEach(need => {
-      // A replica more makes streams a little quicker; a model that somebody is about to ask for must not go for it.
-      const option = best(need.model, RELOAD_MS)
+      // Another replica speeds streams up only a little, which does not justify unloading a model that is likely to be
+      // requested.
+      const option = findBestOption(need.model, MODEL_RELOAD_MS)
       if (option === undefined) return
       if (option.tier === 'store') {
-        if (fetches <= 0 || replicas(need.model) >= replicasForLoad(need.steadyInFlight, input.engines)) return
-        fetches -= 1
+        if (replicaStoreLoads <= 0 || replicas(need.model) >= replicasForLoad(need.averageInFlight, input.engines)) return
+        replicaStoreLoads -= 1
       }
-      take(option, need.model, 'more-replicas')
+      takeOption(option, need.model, 'more-replicas')
     })
   return steps
 }
 
-function gainOf (urgency: number, waitedMs: number): number {
-  return urgency * GAIN_MS * (1 + waitedMs / GAIN_DOUBLES_MS)
+function loadGainMs (urgency: number, waitedMs: number): number {
+  return urgency * LOAD_GAIN_MS * (1 + waitedMs / GAIN_INCREASE_INTERVAL_MS)
 }
 
 /**
- * Requests that a load would serve: those that wait, and those that come while it takes place. Callers of a busy model
- * are refused at once and come again; by the longest wait alone it would stand behind each model that one caller waits
- * for, and hundreds would be refused meanwhile. Of models that one waits for, the first comes first.
+ * Returns the number of requests that a load would serve: one if any wait, and those that arrive during the load. Callers
+ * of a busy model are refused at once and retry, so ordering by the longest wait would put the model behind each model
+ * that a single caller waits for, and hundreds would be refused meanwhile. Equal values are ordered by the longest wait.
  */
 function urgency (need: ModelNeed): number {
-  return Math.min(1, need.waiting) + Math.floor(need.rate * COMING_MS / 1000)
+  return Math.min(1, need.waiting) + Math.floor(need.rate * ARRIVAL_WINDOW_MS / 1000)
 }
 
-/** Replicas that a model's load asks for; of a busy one a second, since engines are taken away without notice. */
-export function wantedReplicas (need: ModelNeed, engines: readonly EnginePlan[]): number {
-  const forLoss = need.rate >= BUSY_RATE ? 2 : 1
-  return Math.min(engines.length, Math.max(replicasForLoad(need.inFlight, engines), forLoss))
+/**
+ * Returns the replicas that a model's load needs; at least two if it is busy, since engines are removed without notice.
+ */
+export function desiredReplicas (need: ModelNeed, engines: readonly EngineSnapshot[]): number {
+  const minReplicas = need.rate >= BUSY_REQUESTS_PER_SECOND ? 2 : 1
+  return Math.min(engines.length, Math.max(replicasForLoad(need.inFlight, engines), minReplicas))
 }
 
-function replicasForLoad (inFlight: number, engines: readonly EnginePlan[]): number {
+function replicasForLoad (inFlight: number, engines: readonly EngineSnapshot[]): number {
   const slots = Math.max(1, ...engines.map(engine => engine.slots))
-  return Math.ceil(inFlight / (slots * REPLICA_LOAD_PART))
+  return Math.ceil(inFlight / (slots * REPLICA_LOAD_RATIO))
 }
 
 /**
- * What may be given up at an engine for a model of some size: one model, or two where one is not enough. Engines full of
- * smaller models would else never take a large one: a busy one stayed on its one engine for thirty seconds, p50 2 s,
- * beside twelve engines of which each would have had to give up two. Worked out once for each engine and size, of which
- * there are few: for each need anew it took a third of the leader's processor at 63 engines.
+ * Finds the models that an engine can unload to make room for a model of a given size: one, or two where one is not
+ * enough. Without pairs, engines full of smaller models never took a large one: a busy model stayed on one engine for
+ * thirty seconds (p50 2 s) although each of twelve others could have unloaded two. Results are cached by engine and size,
+ * of which there are few; computing them for each need took a third of the leader's processor at 63 engines.
  */
-function createVictimSets (input: PlacementPlanInput, needs: ReadonlyMap<string, ModelNeed>, replicas: (model: string) => number): (engine: EnginePlan, weightsMb: number) => readonly VictimSet[] {
-  const known = new Map<EnginePlan, Map<number, readonly VictimSet[]>>()
+function createEvictionSets (input: PlacementPlanInput, needs: ReadonlyMap<string, ModelNeed>, replicas: (model: string) => number): (engine: EngineSnapshot, weightsMb: number) => readonly EvictionSet[] {
+  const cache = new Map<EngineSnapshot, Map<number, readonly EvictionSet[]>>()
   const sizeOf = (model: string): number => input.specs.get(model)?.weightsMb ?? 0
-  const setOf = (engine: EnginePlan, victims: readonly string[]): VictimSet => {
-    const running = (model: string): number => engine.inFlight.get(model) ?? 0
-    const holdUpMs = victims.some(model => running(model) > 0) ? RUN_MS : 0
-    const lost = victims.map(model => victimCost(model, running(model), needs.get(model), replicas(model), engine.slots))
-    return { victims, delayMs: victims.length * UNLOAD_MS + holdUpMs, lost: lost.reduce((sum, each) => sum + each, 0) }
+  const setOf = (engine: EngineSnapshot, modelsToUnload: readonly string[]): EvictionSet => {
+    const runningRequests = (model: string): number => engine.inFlight.get(model) ?? 0
+    const runningRequestMs = modelsToUnload.some(model => runningRequests(model) > 0) ? RUNNING_REQUEST_MS : 0
+    const costs = modelsToUnload.map(model => evictionCostMs(model, runningRequests(model), needs.get(model), replicas(model), engine.slots))
+    return { modelsToUnload, delayMs: modelsToUnload.length * UNLOAD_MS + runningRequestMs, evictionCostMs: costs.reduce((sum, each) => sum + each, 0) }
   }
-  const find = (engine: EnginePlan, weightsMb: number): VictimSet[] => {
-    if (engine.freeMb >= weightsMb) return [NO_VICTIMS]
-    const isEnough = (...victims: string[]): boolean => victims.reduce((sum, model) => sum + sizeOf(model), engine.freeMb) >= weightsMb
-    const singles = engine.models.filter(model => isEnough(model))
-    const others = engine.models.filter(model => !isEnough(model))
-    const pairs = others.flatMap((one, index) => others.slice(index + 1).map(other => [one, other] as const)).filter(pair => isEnough(...pair))
+  const find = (engine: EngineSnapshot, weightsMb: number): EvictionSet[] => {
+    if (engine.freeMb >= weightsMb) return [NO_EVICTION]
+    const freesEnough = (...models: string[]): boolean => models.reduce((sum, model) => sum + sizeOf(model), engine.freeMb) >= weightsMb
+    const singles = engine.models.filter(model => freesEnough(model))
+    const others = engine.models.filter(model => !freesEnough(model))
+    const pairs = others.flatMap((one, index) => others.slice(index + 1).map(other => [one, other] as const)).filter(pair => freesEnough(...pair))
     return [...singles.map(model => [model]), ...pairs]
-      .map(victims => setOf(engine, victims))
-      .filter(({ lost }) => Number.isFinite(lost))
+      .map(modelsToUnload => setOf(engine, modelsToUnload))
+      .filter(({ evictionCostMs: lossMs }) => Number.isFinite(lossMs))
   }
   return (engine, weightsMb) => {
-    const bySize = known.get(engine) ?? new Map<number, readonly VictimSet[]>()
-    known.set(engine, bySize)
+    const bySize = cache.get(engine) ?? new Map<number, readonly EvictionSet[]>()
+    cache.set(engine, bySize)
     const sets = bySize.get(weightsMb) ?? find(engine, weightsMb)
     bySize.set(weightsMb, sets)
     return sets
   }
 }
 
-/** What the absence of a replica costs, in milliseconds of waiting over the next seconds. */
-function victimCost (model: string, running: number, need: ModelNeed | undefined, replicas: number, slots: number): number {
+/** Returns the cost of unloading a replica, in milliseconds of waiting over the next seconds. */
+function evictionCostMs (model: string, runningRequests: number, need: ModelNeed | undefined, replicas: number, slots: number): number {
   if (need === undefined) return 0
   if (need.waiting > 0) return Infinity
-  const isRecent = need.idleMs < RECENT_MS
-  // The last replica: everybody who asks waits for it to come back. One of several: the others take its load.
-  if (replicas <= 1) return need.rate * RELOAD_MS * RELOAD_MS / 1000 + (isRecent ? RELOAD_MS : 0) + need.inFlight * RELOAD_MS
-  const loadElsewhere = need.inFlight / (replicas - 1) / (slots * REPLICA_LOAD_PART)
-  return running * RUN_MS / 2 + (loadElsewhere > 1 ? Infinity : loadElsewhere * RELOAD_MS)
+  const isRecent = need.idleMs < RECENT_USE_MS
+  // Without the last replica, all callers wait until it is loaded again. With several, the others take its load.
+  if (replicas <= 1) return need.rate * MODEL_RELOAD_MS * MODEL_RELOAD_MS / 1000 + (isRecent ? MODEL_RELOAD_MS : 0) + need.inFlight * MODEL_RELOAD_MS
+  const loadElsewhere = need.inFlight / (replicas - 1) / (slots * REPLICA_LOAD_RATIO)
+  return runningRequests * RUNNING_REQUEST_MS / 2 + (loadElsewhere > 1 ? Infinity : loadElsewhere * MODEL_RELOAD_MS)
 }
--- a/packages/magnoliabay/src/node/serving/placement/weightLoadLimiter.ts
+++ b/packages/magnoliabay/src/node/serving/placement/weightLoadLimiter.ts
@@ -1,6 +1,6 @@
 /**
- * How many loads from the weight store may begin: bounded in rate over a window, and in number at once. How many run
- * at full speed is nowhere told; with more, each takes longer in proportion, so it is learned from how long they took.
+ * Limits loads from the weight store, in rate over a window and in concurrency. The number of loads that the store runs
+ * at full speed is not published; beyond it each load takes proportionally longer, so it is learned from durations.
  */
 
 export interface WeightLoadLimiterOptions {
@@ -10,72 +10,80 @@
 }
 
 export interface WeightLoadLimiter {
-  /** Loads that may begin now. */
-  left (nowMs: number): number
-  /** An engine begins one, or may have begun it. */
-  noteBegun (engine: string, nowMs: number): void
-  /** The engine's load came to its end. */
-  noteEnded (engine: string, tookMs: number, aloneMs: number): void
+  /** Returns how many loads may begin now. */
+  remaining (nowMs: number): number
+  /** Records that an engine begins a load, or may have begun one. */
+  recordStart (engine: string, nowMs: number): void
+  /** Records the end of the engine's load. `uncontendedMs`: its expected duration without other loads. */
+  recordEnd (engine: string, tookMs: number, aloneMs: number): void
   /** Whether the engine is loading from the weight store. */
   isLoading (engine: string): boolean
-  /** How much longer a load takes that begins now behind so many others, as a factor. */
-  slowness (ahead: number): number
-  /** Counts as if the window were half full, and all but one of those at once under way: an instance before this one may have begun loads. */
-  assumeEarlier (nowMs: number): void
+  /** Returns the factor by which a load takes longer that begins behind the running loads and `loadsAhead` others. */
+  slowdownFactor (ahead: number): number
+  /**
+   * Counts the window as half used and all but one of the concurrent loads as running: a previous leader may have begun
+   * loads.
+   */
+  assumeEarlierLoads (nowMs: number): void
 }
 
-/** Loads at once to begin with, until the first ones tell. */
-const FIRST_AT_ONCE = 3
-/** A load whose end nobody told counts as under way for this long, milliseconds: several times what one takes alone. */
-const MAX_UNDER_WAY_MS = 30_000
-/** Loads that an instance before this one may have begun count for this long, milliseconds: about what one takes. */
-const EARLIER_MS = 7000
-/** A load that took this much longer than one alone shared the store's speed with others. */
-const SHARED = 1.2
+/** Concurrent loads allowed until the first ones have ended. */
+const INITIAL_CONCURRENCY = 3
+/**
+ * Time for which a load whose end was not reported counts as running, milliseconds: several times its uncontended
+ * duration.
+ */
+const MAX_LOAD_MS = 30_000
+/**
+ * Time for which loads that a previous leader may have begun count as running, milliseconds: about the duration of one.
+ */
+const ASSUMED_LOAD_MS = 7000
+/** Ratio to the uncontended duration above which a load was slowed down by others. */
+const CONTENTION_RATIO = 1.2
 
-interface UnderWay {
+interface RunningLoad {
   sinceMs: number
-  /** Loads under way beside it at most, itself included. */
-  beside: number
+  /** Highest number of loads that ran at the same time, including this one. */
+  maxConcurrent: number
 }
 
 export function createWeightLoadLimiter ({ windowMs, loadsPerSecond }: WeightLoadLimiterOptions): WeightLoadLimiter {
-  let begun: number[] = []
-  const underWay = new Map<string, UnderWay>()
-  let atOnce = FIRST_AT_ONCE
-  /** So many at once have been seen to slow each other down. */
-  let tooMany = Infinity
+  let startTimesMs: number[] = []
+  const runningLoads = new Map<string, RunningLoad>()
+  let concurrency = INITIAL_CONCURRENCY
+  /** Lowest concurrency at which loads slowed each other down. */
+  let contendedConcurrency = Infinity
 
-  const inWindow = (nowMs: number): number => begun.filter(atMs => nowMs - atMs < windowMs).length
-  const expire = (nowMs: number): void => underWay.forEach(({ sinceMs }, engine) => { if (nowMs - sinceMs > MAX_UNDER_WAY_MS) underWay.delete(engine) })
+  const startsInWindow = (nowMs: number): number => startTimesMs.filter(atMs => nowMs - atMs < windowMs).length
+  const expire = (nowMs: number): void => runningLoads.forEach(({ sinceMs }, engine) => { if (nowMs - sinceMs > MAX_LOAD_MS) runningLoads.delete(engine) })
   return {
-    left: nowMs => {
+    remaining: nowMs => {
       expire(nowMs)
-      return Math.max(0, Math.min(Math.floor(loadsPerSecond() * windowMs / 1000) - inWindow(nowMs), atOnce - underWay.size))
+      return Math.max(0, Math.min(Math.floor(loadsPerSecond() * windowMs / 1000) - startsInWindow(nowMs), concurrency - runningLoads.size))
     },
-    noteBegun: (engine, nowMs) => {
-      begun = [...begun.filter(atMs => nowMs - atMs < windowMs), nowMs]
-      underWay.set(engine, { sinceMs: nowMs, beside: 1 })
-      underWay.forEach(load => { load.beside = Math.max(load.beside, underWay.size) })
+    recordStart: (engine, nowMs) => {
+      startTimesMs = [...startTimesMs.filter(atMs => nowMs - atMs < windowMs), nowMs]
+      runningLoads.set(engine, { sinceMs: nowMs, maxConcurrent: 1 })
+      runningLoads.forEach(load => { load.maxConcurrent = Math.max(load.maxConcurrent, runningLoads.size) })
     },
-    noteEnded: (engine, tookMs, aloneMs) => {
-      const load = underWay.get(engine)
+    recordEnd: (engine, tookMs, uncontendedMs) => {
+      const load = runningLoads.get(engine)
       if (load === undefined) return
-      underWay.delete(engine)
-      const factor = tookMs / aloneMs
-      if (factor > SHARED && load.beside > 1) {
-        tooMany = Math.min(tooMany, load.beside)
-        atOnce = Math.max(1, Math.min(atOnce, Math.round(load.beside / factor)))
-      } else if (load.beside >= atOnce && atOnce + 1 < tooMany) atOnce += 1
+      runningLoads.delete(engine)
+      const slowdown = tookMs / uncontendedMs
+      if (slowdown > CONTENTION_RATIO && load.maxConcurrent > 1) {
+        contendedConcurrency = Math.min(contendedConcurrency, load.maxConcurrent)
+        concurrency = Math.max(1, Math.min(concurrency, Math.round(load.maxConcurrent / slowdown)))
+      } else if (load.maxConcurrent >= concurrency && concurrency + 1 < contendedConcurrency) concurrency += 1
     },
-    isLoading: engine => underWay.has(engine),
-    slowness: ahead => Math.max(1, (underWay.size + ahead + 1) / atOnce),
-    assumeEarlier: nowMs => {
-      const half = Math.floor(loadsPerSecond() * windowMs / 2000)
-      begun = Array.from({ length: half }, () => nowMs)
-      underWay.clear()
-      const untold = Math.min(half, atOnce - 1)
-      Array.from({ length: untold }).forEach((_, index) => underWay.set(`earlier ${index}`, { sinceMs: nowMs - MAX_UNDER_WAY_MS + EARLIER_MS, beside: 1 }))
+    isLoading: engine => runningLoads.has(engine),
+    slowdownFactor: loadsAhead => Math.max(1, (runningLoads.size + loadsAhead + 1) / concurrency),
+    assumeEarlierLoads: nowMs => {
+      const assumedStarts = Math.floor(loadsPerSecond() * windowMs / 2000)
+      startTimesMs = Array.from({ length: assumedStarts }, () => nowMs)
+      runningLoads.clear()
+      const assumedRunning = Math.min(assumedStarts, concurrency - 1)
+      Array.from({ length: assumedRunning }).forEach((_, index) => runningLoads.set(`earlier ${index}`, { sinceMs: nowMs - MAX_LOAD_MS + ASSUMED_LOAD_MS, maxConcurrent: 1 }))
     }
   }
 }
