--- a/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
@@ -20,7 +20,7 @@
 import type { LeaderElection } from '../../placement/leaderElection'
 import { createServerList } from '../../serverList'
 import type { ServerList } from '../../serverList'
-import { createSpread } from '../../dissemination'
+import { createDissemination } from '../../dissemination'
 import { createStoreFeeds, watchStore } from '../../storeWatches'
 import { createStoreProxy } from '../../storeProxy'
 import { createStoreTurn } from '../../storeReadPolicy'
@@ -200,13 +200,13 @@
       isLinked: joined.isConnected,
       leader: () => leadership.isLeaseHolder() ? id : leadership.leaseHolder(),
       own: () => reportOf({ inFlight: [...inFlight].map(([server, count]) => ({ server, model: 'a', count })), storeAgeMs: storeAgeMs(), isReady: cfg.version() > 0 }),
-      spentWithBelow: () => [],
+      spentWithDownstream: () => [],
       leading: () => leadership.ownClaim(),
       latestClaim: () => leadership.latestClaimRevision(),
       summary: () => ({ configVersion: cfg.version(), storeAgeMs: proxy.sight().ageMs, storeSteadyMs: proxy.sight().steadyMs, spent: [], evacuation: evacuations.state(), listDigest: servers.digest(), membersDigest: membership.digest() }),
-      beforeSummary: () => spread.tellChanges(),
+      beforeSummary: () => spread.sendChanges(),
       onReport: () => {},
-      onSummary: (member, summary) => spread.noteSummary(member.id, summary)
+      onSummary: (member, summary) => spread.applySummary(member.id, summary)
     })
     const leadership: LeaderElection = createLeaderElection({
       store,
@@ -225,8 +225,8 @@
       logger,
       random
     })
-    const proxy = createStoreProxy({ peers, isLeading: leadership.isLeaseHolder, own: () => ({ ageMs: storeAgeMs(), steadyMs: steadyMs() }), candidates: table.peersWithStoreAccess, onProxied: member => spread.noteProxy(member), clock: own, logger })
-    const spread = createSpread({
+    const proxy = createStoreProxy({ peers, isLeading: leadership.isLeaseHolder, own: () => ({ ageMs: storeAgeMs(), steadyMs: steadyMs() }), candidates: table.peersWithStoreAccess, onProxied: member => spread.syncFromProxy(member), clock: own, logger })
+    const spread = createDissemination({
       peers,
       cfg,
       servers,
@@ -239,7 +239,7 @@
       isFollowing: table.isFollowing,
       isLinked: joined.isConnected,
       isProxy: member => proxy.current() === member,
-      onLeaderTold: leading => leadership.noteClaimFromPeer(leading),
+      onLeaderLearned: leading => leadership.noteClaimFromPeer(leading),
       clock: own,
       logger,
       random
--- a/packages/magnoliabay/src/node/serving/attempt.ts
+++ b/packages/magnoliabay/src/node/serving/attempt.ts
@@ -5,9 +5,9 @@
 import type { BackendServer } from './types'
 
 /** Whole answers up to this size are held until they are complete, so that a cut one can be replaced, bytes. */
-const MAX_HELD_BYTES = 262_144
+const MAX_BUFFERED_BYTES = 262_144
 /** A caller that reads so slowly that this much waits for it is cut: the answer would fill this process, bytes. */
-const MAX_UNSENT_BYTES = 4_194_304
+const MAX_PENDING_WRITE_BYTES = 4_194_304
 
 /** What an answer's head says, decoded. */
 export interface ResponseMetadata {
@@ -25,12 +25,12 @@
   | { kind: 'relayed', status: number }
   | { kind: 'rejected', status: number }
   | { kind: 'unsent', reason: string }
-  | { kind: 'failed', reason: string, answer?: WholeAnswer }
+  | { kind: 'failed', reason: string, response?: CompleteResponse }
   | { kind: 'cut', reason: string }
   | { kind: 'stopped' }
 
 /** A failure that the server itself answered, whole. */
-export interface WholeAnswer {
+export interface CompleteResponse {
   head: ResponseHead
   body: Buffer
 }
@@ -46,13 +46,13 @@
   events: EventStream | undefined
   attemptId: string
   res: ServerResponse
-  decodeAnswer: (head: ResponseHead) => ResponseMetadata
-  returnedHeaders: (rawHeaders: readonly string[]) => string[]
+  decodeResponseHead: (head: ResponseHead) => ResponseMetadata
+  toCallerHeaders: (rawHeaders: readonly string[]) => string[]
   /** Whether an answer of this status is to be held back, since the request may be tried elsewhere. */
-  holdsBack: (status: number) => boolean
-  onHeard?: () => void
+  isRetryableStatus: (status: number) => boolean
+  onActivity?: () => void
   /** The first bytes of the answer go to the caller. */
-  onFirst?: () => void
+  onFirstByte?: () => void
 }
 
 export interface Attempt {
@@ -60,86 +60,86 @@
   /** Ends the attempt from this side; the server stops its work. */
   stop (reason: string): void
   /** Ends it as broken: the server has fallen silent. */
-  giveUp (reason: string): void
+  fail (reason: string): void
 }
 
-const PROMISES_NOT_RUN = new Set([408, 421, 429, 503])
-const OK_FROM = 200
-const OK_BELOW = 300
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503])
+const MIN_OK_STATUS = 200
+const MIN_REDIRECT_STATUS = 300
 
 export function startAttempt (options: AttemptOptions): Attempt {
   const { res, events, server } = options
   /** An attempt before this one has begun the answer; this one goes on with it. */
   const isContinuing = res.headersSent
   let settle: (end: AttemptEnd) => void = () => {}
-  const ended = new Promise<AttemptEnd>(resolve => { settle = resolve })
+  const result = new Promise<AttemptEnd>(resolve => { settle = resolve })
   let head: ResponseHead | undefined
   let isRejected = false
-  let problem: string | undefined
-  let held: Buffer[] = []
-  let heldBytes = 0
+  let failureReason: string | undefined
+  let buffered: Buffer[] = []
+  let bufferedBytes = 0
   let isForwarding = false
   let isStopped = false
 
-  const isOk = (): boolean => head !== undefined && head.status >= OK_FROM && head.status < OK_BELOW
-  const begin = (): void => {
+  const isOk = (): boolean => head !== undefined && head.status >= MIN_OK_STATUS && head.status < MIN_REDIRECT_STATUS
+  const startForwarding = (): void => {
     isForwarding = true
-    options.onFirst?.()
-    if (!res.headersSent) res.writeHead(head!.status, options.returnedHeaders(head!.rawHeaders) as never)
-    held.forEach(chunk => res.write(chunk))
-    held = []
+    options.onFirstByte?.()
+    if (!res.headersSent) res.writeHead(head!.status, options.toCallerHeaders(head!.rawHeaders) as never)
+    buffered.forEach(chunk => res.write(chunk))
+    buffered = []
   }
-  const spoil = (reason: string): void => {
-    problem = reason
+  const fail = (reason: string): void => {
+    failureReason = reason
     exchange.cancel(reason)
   }
-  const onHead = (answer: ResponseHead): void => {
-    head = answer
-    options.onHeard?.()
-    const marks = options.decodeAnswer(answer)
-    if (marks.attemptId !== undefined && marks.attemptId !== options.attemptId) return spoil('answer belongs to another request')
-    isRejected = marks.isNotRun
+  const onHead = (response: ResponseHead): void => {
+    head = response
+    options.onActivity?.()
+    const metadata = options.decodeResponseHead(response)
+    if (metadata.attemptId !== undefined && metadata.attemptId !== options.attemptId) return fail('answer belongs to another request')
+    isRejected = metadata.isNotRun
     if (isRejected) return
-    if (isOk() && !marks.isSigned) return spoil('answer is not signed')
+    if (isOk() && !metadata.isSigned) return fail('answer is not signed')
     // A status that promises *not run* from a server that does not: passed on it would be a false promise.
-    if (PROMISES_NOT_RUN.has(answer.status)) return spoil(`status ${answer.status} without the server's word that it has not run`)
-    if (isContinuing && !isOk()) spoil(`status ${answer.status} to a stream that goes on`)
+    if (NOT_RUN_STATUSES.has(response.status)) return fail(`status ${response.status} without the server's word that it has not run`)
+    if (isContinuing && !isOk()) fail(`status ${response.status} to a stream that goes on`)
   }
-  const pass = (bytes: Buffer): void => {
+  const forward = (bytes: Buffer): void => {
     if (bytes.length === 0) return
-    if (!isForwarding) begin()
+    if (!isForwarding) startForwarding()
     res.write(bytes)
-    if (res.writableLength > MAX_UNSENT_BYTES) spoil('caller reads too slowly')
+    if (res.writableLength > MAX_PENDING_WRITE_BYTES) fail('caller reads too slowly')
   }
-  const passEvents = (stream: EventStream, chunk: Buffer): void => {
-    const followed = stream.push(chunk)
-    pass(followed.events)
-    if (followed.problem !== undefined) spoil(`event is ${followed.problem}`)
+  const forwardEvents = (stream: EventStream, chunk: Buffer): void => {
+    const parsed = stream.push(chunk)
+    forward(parsed.events)
+    if (parsed.problem !== undefined) fail(`event is ${parsed.problem}`)
   }
   const onData = (chunk: Buffer): void => {
-    if (problem !== undefined) return
-    options.onHeard?.()
-    if (!isRejected && isOk() && events !== undefined) return passEvents(events, chunk)
-    if (isForwarding) return pass(chunk)
-    held.push(chunk)
-    heldBytes += chunk.length
-    if (!isRejected && !options.holdsBack(head!.status) && heldBytes > MAX_HELD_BYTES) begin()
+    if (failureReason !== undefined) return
+    options.onActivity?.()
+    if (!isRejected && isOk() && events !== undefined) return forwardEvents(events, chunk)
+    if (isForwarding) return forward(chunk)
+    buffered.push(chunk)
+    bufferedBytes += chunk.length
+    if (!isRejected && !options.isRetryableStatus(head!.status) && bufferedBytes > MAX_BUFFERED_BYTES) startForwarding()
   }
-  const endWhole = (): AttemptEnd => {
+  const concludeComplete = (): AttemptEnd => {
     if (isRejected) return { kind: 'rejected', status: head!.status }
-    if (events?.isInEvent()) return endBroken('stream ends within an event')
+    if (events?.isInEvent()) return concludeIncomplete('stream ends within an event')
     if (isForwarding || isContinuing) {
       res.end()
       return { kind: 'relayed', status: head!.status }
     }
-    const answer: WholeAnswer = { head: head!, body: Buffer.concat(held) }
-    if (options.holdsBack(head!.status)) return { kind: 'failed', reason: `status ${head!.status}`, answer }
-    sendWhole(res, answer, options.returnedHeaders)
+    const response: CompleteResponse = { head: head!, body: Buffer.concat(buffered) }
+    if (options.isRetryableStatus(head!.status)) return { kind: 'failed', reason: `status ${head!.status}`, response }
+    sendCompleteResponse(res, response, options.toCallerHeaders)
     return { kind: 'relayed', status: head!.status }
   }
-  const endBroken = (reason: string): AttemptEnd => {
+  const concludeIncomplete = (reason: string): AttemptEnd => {
     if (isRejected && head !== undefined) return { kind: 'rejected', status: head.status }
-    return { kind: isForwarding || isContinuing ? 'cut' : 'failed', reason: problem ?? reason }
+    return { kind: isForwarding || isContinuing ? 'cut' : 'failed', reason: failureReason ?? reason }
   }
   const exchange: Exchange = options.connections.exchange({ address: server.address, method: options.method, path: options.path, headers: options.headers, body: options.body }, {
     onHead,
@@ -147,12 +147,12 @@
     onEnd: (how, reason) => {
       if (isStopped) return settle({ kind: 'stopped' })
       if (how === 'unsent') return settle({ kind: 'unsent', reason })
-      settle(how === 'whole' && problem === undefined ? endWhole() : endBroken(reason))
+      settle(how === 'whole' && failureReason === undefined ? concludeComplete() : concludeIncomplete(reason))
     }
   })
   return {
-    end: ended,
-    giveUp: spoil,
+    end: result,
+    fail,
     stop: reason => {
       isStopped = true
       exchange.cancel(reason)
@@ -161,9 +161,9 @@
 }
 
 /** Sends an answer that is complete. */
-export function sendWhole (res: ServerResponse, answer: WholeAnswer, returnedHeaders: AttemptOptions['returnedHeaders']): void {
-  const headers = returnedHeaders(answer.head.rawHeaders)
-  const hasLength = answer.head.headers['content-length'] !== undefined
-  res.writeHead(answer.head.status, [...headers, ...(hasLength ? [] : ['Content-Length', String(answer.body.length)])] as never)
-  res.end(answer.body)
+export function sendCompleteResponse (res: ServerResponse, response: CompleteResponse, toCallerHeaders: AttemptOptions['toCallerHeaders']): void {
+  const headers = toCallerHeaders(response.head.rawHeaders)
+  const hasLength = response.head.headers['content-length'] !== undefined
+  res.writeHead(response.head.status, [...headers, ...(hasLength ? [] : ['Content-Length', String(response.body.length)])] as never)
+  res.end(response.body)
 }
--- a/packages/magnoliabay/src/node/serving/chooseServer.ts
+++ b/packages/magnoliabay/src/node/serving/chooseServer.ts
@@ -25,15 +25,15 @@
 const NEAR_BONUS = 0.15
 /** One failure a second weighs as much as a full server. */
 const FAILURE_WEIGHT = 1
-const SILENT_WEIGHT = 10
+const SILENT_PENALTY = 10
 /** A cold server is the emptiest of all, and everybody would send to it; it gets what others are too full for, in slots. */
-const COLD_WEIGHT = 0.5
+const COLD_PENALTY = 0.5
 
 function cost (candidate: Candidate): number {
   return candidate.load / Math.max(1, candidate.slots) +
     candidate.failureRate * FAILURE_WEIGHT +
-    (candidate.isSilent ? SILENT_WEIGHT : 0) +
-    (candidate.isCold ? COLD_WEIGHT : 0) -
+    (candidate.isSilent ? SILENT_PENALTY : 0) +
+    (candidate.isCold ? COLD_PENALTY : 0) -
     (candidate.isNear ? NEAR_BONUS : 0)
 }
 
--- a/packages/magnoliabay/src/node/serving/coldStarts.ts
+++ b/packages/magnoliabay/src/node/serving/coldStarts.ts
@@ -17,11 +17,11 @@
 
 const WINDOW_MS = 1000
 /** Two homes may count for one server. */
-const HOME_PART = 1 / 2
+const HOME_RATIO = 1 / 2
 /** The home answers within a round trip; a request waits for a cold server no longer than it would take elsewhere. */
-const ASK_TIMEOUT_MS = 200
+const ADMIT_TIMEOUT_MS = 200
 /** What is known of servers that are cold no more is dropped when there are so many. */
-const MAX_COUNTED = 1000
+const MAX_TRACKED_PROCESSES = 1000
 
 /** What the users allow at a cold server in a second, over all instances: part of its rate, and requests beside that. */
 export interface ColdRateTolerance {
@@ -38,11 +38,11 @@
 export interface ColdStartsOptions {
   peers: Peers
   /** What the service says of its servers' start. */
-  startOf: (service: string) => ColdStart | undefined
+  coldStartOf: (service: string) => ColdStart | undefined
   /** How much longer the server says that it is cold, milliseconds. */
   coldMs: (process: string) => number
   /** Since the evacuation of its failure domain ended, after which servers come back cold, milliseconds. */
-  backSinceMs: (failureDomain: string) => number
+  evacuationEndedAgoMs: (failureDomain: string) => number
   tolerance: ColdRateTolerance
   clock: Clock
   logger: Logger
@@ -51,30 +51,30 @@
 export function createColdStarts (options: ColdStartsOptions): ColdStarts {
   const { peers, clock, logger } = options
   /** Moments of what this instance granted as home, by server process. */
-  const granted = new Map<string, number[]>()
+  const grantTimesByProcess = new Map<string, number[]>()
 
-  const grant = (process: string, most: number): boolean => {
-    if (granted.size > MAX_COUNTED) granted.clear()
-    const recent = (granted.get(process) ?? []).filter(atMs => clock.monotonic() - atMs < WINDOW_MS)
-    const isAdmitted = recent.length < most
-    granted.set(process, isAdmitted ? [...recent, clock.monotonic()] : recent)
+  const tryGrant = (process: string, limit: number): boolean => {
+    if (grantTimesByProcess.size > MAX_TRACKED_PROCESSES) grantTimesByProcess.clear()
+    const recent = (grantTimesByProcess.get(process) ?? []).filter(atMs => clock.monotonic() - atMs < WINDOW_MS)
+    const isAdmitted = recent.length < limit
+    grantTimesByProcess.set(process, isAdmitted ? [...recent, clock.monotonic()] : recent)
     return isAdmitted
   }
-  peers.serve(admitCall, ({ process, most }) => ({ isAdmitted: grant(process, most) }))
+  peers.serve(admitCall, ({ process, most }) => ({ isAdmitted: tryGrant(process, most) }))
 
   return {
     isCold: server => {
-      const start = options.startOf(server.service)
-      if (start === undefined) return false
-      return options.coldMs(serverProcessId(server)) > 0 || options.backSinceMs(server.failureDomain) < start.durationMs
+      const coldStart = options.coldStartOf(server.service)
+      if (coldStart === undefined) return false
+      return options.coldMs(serverProcessId(server)) > 0 || options.evacuationEndedAgoMs(server.failureDomain) < coldStart.durationMs
     },
     admit: async server => {
       const process = serverProcessId(server)
-      const perSecond = options.startOf(server.service)?.requestsPerSecond ?? 0
-      const most = Math.floor((perSecond * options.tolerance.ratio + options.tolerance.slack) * HOME_PART)
+      const perSecond = options.coldStartOf(server.service)?.requestsPerSecond ?? 0
+      const most = Math.floor((perSecond * options.tolerance.ratio + options.tolerance.slack) * HOME_RATIO)
       const home = homeInstanceOf(peers, process)
-      if (home === peers.self.id) return grant(process, most)
-      const reply = await peers.call(home, admitCall, { process, most }, { timeoutMs: ASK_TIMEOUT_MS })
+      if (home === peers.self.id) return tryGrant(process, most)
+      const reply = await peers.call(home, admitCall, { process, most }, { timeoutMs: ADMIT_TIMEOUT_MS })
       if (reply.err) logger.info('cold-server-not-asked', { server: server.id, home, reason: reply.val.kind })
       return reply.ok && reply.val.isAdmitted
     }
--- a/packages/magnoliabay/src/node/serving/compressedText.ts
+++ b/packages/magnoliabay/src/node/serving/compressedText.ts
@@ -8,18 +8,18 @@
 import type { Result } from '../result'
 
 /** Quick rather than small: it is packed again for each change. */
-const LEVEL = 3
+const COMPRESSION_LEVEL = 3
 /** The store takes no value larger than a megabyte; what claims more is damaged. */
-const MOST_BYTES = 8 * 1024 * 1024
+const MAX_DECOMPRESSED_BYTES = 8 * 1024 * 1024
 
-export function packText (text: string): Uint8Array {
-  return deflateRawSync(text, { level: LEVEL })
+export function compressText (text: string): Uint8Array {
+  return deflateRawSync(text, { level: COMPRESSION_LEVEL })
 }
 
 /** The error says what is wrong with the bytes. */
-export function unpackText (packed: Uint8Array): Result<string, string> {
+export function decompressText (compressed: Uint8Array): Result<string, string> {
   try {
-    return Ok(inflateRawSync(packed, { maxOutputLength: MOST_BYTES }).toString('utf8'))
+    return Ok(inflateRawSync(compressed, { maxOutputLength: MAX_DECOMPRESSED_BYTES }).toString('utf8'))
   } catch (err) {
     return Err(messageOf(err))
   }
--- a/packages/magnoliabay/src/node/serving/decayingAverage.ts
+++ b/packages/magnoliabay/src/node/serving/decayingAverage.ts
@@ -5,14 +5,14 @@
   update (value: number, nowMs: number): number
 }
 
-export function createDecayingAverage (averagedOverMs: number): DecayingAverage {
+export function createDecayingAverage (timeConstantMs: number): DecayingAverage {
   let average = 0
-  let atMs: number | undefined
+  let updatedMs: number | undefined
   return {
     update: (value, nowMs) => {
-      const kept = atMs === undefined ? 1 : Math.exp(-Math.max(0, nowMs - atMs) / averagedOverMs)
-      average = average * kept + value * (1 - kept)
-      atMs = nowMs
+      const decay = updatedMs === undefined ? 1 : Math.exp(-Math.max(0, nowMs - updatedMs) / timeConstantMs)
+      average = average * decay + value * (1 - decay)
+      updatedMs = nowMs
       return average
     }
   }
--- a/packages/magnoliabay/src/node/serving/departedServers.ts
+++ b/packages/magnoliabay/src/node/serving/departedServers.ts
@@ -5,24 +5,24 @@
 import type { ServerList } from './serverList'
 import { serverProcessId } from './types'
 
-export interface GoneServersOptions {
+export interface DepartedServersOptions {
   servers: Pick<ServerList, 'all' | 'onChanged'>
   health: Pick<ServerHealth, 'inFlight' | 'forget'>
   connections: Pick<Connections, 'forget'>
   engines: Pick<EngineCalls, 'closeConnections'>
 }
 
-export function forgetGoneServers ({ servers, health, connections, engines }: GoneServersOptions): void {
+export function cleanUpDepartedServers ({ servers, health, connections, engines }: DepartedServersOptions): void {
   /** Addresses by process. */
-  let known = new Map<string, string>()
+  let addressByProcess = new Map<string, string>()
   servers.onChanged(() => {
-    const now = new Map(servers.all().map(server => [serverProcessId(server), server.address]))
-    const gone = [...known].filter(([process]) => !now.has(process))
-    gone.forEach(([process, address]) => {
+    const current = new Map(servers.all().map(server => [serverProcessId(server), server.address]))
+    const departed = [...addressByProcess].filter(([process]) => !current.has(process))
+    departed.forEach(([process, address]) => {
       if (health.inFlight(process) === 0) health.forget(process)
       connections.forget(address)
       engines.closeConnections(address)
     })
-    known = now
+    addressByProcess = current
   })
 }
--- a/packages/magnoliabay/src/node/serving/dissemination.ts
+++ b/packages/magnoliabay/src/node/serving/dissemination.ts
@@ -11,12 +11,12 @@
 import type { ServingConfigProvider } from './servingConfigProvider'
 import { configNotice, evacuationNotice, membersNotice, serversNotice } from './fleetMessages'
 import type { FleetSummary, LeadershipTerm, ListedServer } from './fleetMessages'
-import { packText, unpackText } from './compressedText'
+import { compressText, decompressText } from './compressedText'
 import type { EvacuationState, Evacuations } from './evacuations'
 import type { ServerList } from './serverList'
 
 /** What an instance knows of the store, for one that does not reach it. */
-export interface News {
+export interface PeerStatus {
   configVersion: number
   storeAgeMs: number
   /** The claim by which an instance leads, as far as it knows. */
@@ -29,24 +29,24 @@
 const configCall = definePeerCall<Record<string, never>, { packed: Uint8Array | undefined }>('serving.config')
 const serversCall = definePeerCall<Record<string, never>, { servers: readonly ListedServer[] }>('serving.servers')
 const membersCall = definePeerCall<Record<string, never>, { members: readonly MemberRecord[] }>('serving.members')
-const newsCall = definePeerCall<Record<string, never>, News>('serving.news')
+const statusCall = definePeerCall<Record<string, never>, PeerStatus>('serving.news')
 
 /** Changes of a list are gathered for this long, milliseconds, for each who is told and at least. */
-const GATHER_PER_FOLLOWER_MS = 0.5
-const MIN_GATHER_MS = 4
+const BATCH_DELAY_PER_FOLLOWER_MS = 0.5
+const MIN_BATCH_DELAY_MS = 4
 /** The same for a leader whom relays stand below: each change goes to everybody, and wakes hundreds, milliseconds. */
-const RELAYED_GATHER_MS = 80
+const RELAYED_BATCH_DELAY_MS = 80
 /** A configuration that is told about comes with a notice of its own within this time, unless that was lost. */
-const CONFIG_PATIENCE_MS = 100
+const CONFIG_NOTICE_TIMEOUT_MS = 100
 /** A whole list is asked for at most this often. */
-const LIST_PERIOD_MS = 700
+const MIN_LIST_FETCH_INTERVAL_MS = 700
 /** An instance that hears nothing of the store asks a peer this often. */
-const NEWS_PERIOD_MS = 250
+const STATUS_POLL_INTERVAL_MS = 250
 /** Own contact with the store that is older than this counts as lost: its watch would have brought something. */
-const STORE_LOST_MS = 5500
+const STORE_CONTACT_TIMEOUT_MS = 5500
 const CALL_TIMEOUT_MS = 700
 
-export interface SpreadOptions {
+export interface DisseminationOptions {
   peers: Peers
   cfg: ServingConfigProvider
   servers: ServerList
@@ -67,39 +67,39 @@
   /** Whether the member watches the store for this instance. */
   isProxy: (member: string) => boolean
   /** A peer tells who leads. */
-  onLeaderTold: (leading: LeadershipTerm) => void
+  onLeaderLearned: (leading: LeadershipTerm) => void
   clock: Clock
   logger: Logger
   random: () => number
 }
 
-export interface Spread {
+export interface Dissemination {
   start (signal: AbortSignal): void
   /** To be called with each summary that is news, and who told it. */
-  noteSummary (member: string, summary: FleetSummary): void
+  applySummary (member: string, summary: FleetSummary): void
   /** Another watches the store for this instance from now on: takes over what it knows. */
-  noteProxy (member: string): void
+  syncFromProxy (member: string): void
   /** Tells now what has changed: a summary that shows it would else come first, and the whole lists be fetched. */
-  tellChanges (): void
+  sendChanges (): void
 }
 
-export function createSpread (options: SpreadOptions): Spread {
+export function createDissemination (options: DisseminationOptions): Dissemination {
   const { peers, cfg, servers, members, storeAgeMs, clock, logger } = options
   let isFetchingConfig = false
   let behindSinceMs: number | undefined
-  let isTelling = false
-  let configTold = 0
+  let isSendScheduled = false
+  let sentConfigVersion = 0
   /** Revision. */
-  let evacuationTold = 0
-  let packedOf = { version: 0, packed: undefined as Uint8Array | undefined }
+  let sentEvacuationRevision = 0
+  let packedCache = { version: 0, packed: undefined as Uint8Array | undefined }
 
   const packedConfig = (): Uint8Array | undefined => {
     const text = cfg.text()
-    if (text !== undefined && packedOf.version !== cfg.version()) packedOf = { version: cfg.version(), packed: packText(text) }
-    return packedOf.packed
+    if (text !== undefined && packedCache.version !== cfg.version()) packedCache = { version: cfg.version(), packed: compressText(text) }
+    return packedCache.packed
   }
-  const takeConfig = (member: string, packed: Uint8Array): void => {
-    const text = unpackText(packed)
+  const applyPackedConfig = (member: string, packed: Uint8Array): void => {
+    const text = decompressText(packed)
     if (text.ok) cfg.applyIfNewer(text.val, 'peer')
     else logger.warn('config-unreadable', { source: 'peer', peer: member, reason: text.val })
   }
@@ -107,10 +107,10 @@
   peers.serve(configCall, () => ({ packed: packedConfig() }))
   peers.serve(serversCall, () => ({ servers: servers.isKnown() ? servers.listed() : [] }))
   peers.serve(membersCall, () => ({ members: members.records() }))
-  peers.serve(newsCall, () => ({ configVersion: cfg.version(), storeAgeMs: storeAgeMs(), leading: options.leading(), leavingServers: servers.leaving(), isListKnown: servers.isKnown(), evacuation: options.evacuations.state() }))
+  peers.serve(statusCall, () => ({ configVersion: cfg.version(), storeAgeMs: storeAgeMs(), leading: options.leading(), leavingServers: servers.leaving(), isListKnown: servers.isKnown(), evacuation: options.evacuations.state() }))
   peers.listen(serversNotice, notice => servers.applyChanges(notice))
-  peers.listen(evacuationNotice, state => options.evacuations.noteTold(state))
-  peers.listen(configNotice, ({ packed }, from) => takeConfig(from.id, packed))
+  peers.listen(evacuationNotice, state => options.evacuations.applyFromPeer(state))
+  peers.listen(configNotice, ({ packed }, from) => applyPackedConfig(from.id, packed))
   // One who reads the members itself is not to go back to what another knew before.
   peers.listen(membersNotice, (changes, from) => { if (options.isFollowing() || options.isProxy(from.id)) members.applyChanges(changes) })
 
@@ -120,25 +120,25 @@
     const reply = await peers.call(member, configCall, {}, { timeoutMs: CALL_TIMEOUT_MS })
     isFetchingConfig = false
     if (reply.err) return logger.info('config-not-fetched', { peer: member, reason: reply.val.kind })
-    if (reply.val.packed !== undefined) takeConfig(member, reply.val.packed)
+    if (reply.val.packed !== undefined) applyPackedConfig(member, reply.val.packed)
   }
   /** Fetches a whole list, never twice within a short time. */
-  const createFetch = <Res>(call: PeerCall<Record<string, never>, Res>, adopt: (res: Res) => void): (member: string) => Promise<void> => {
-    let fetchedMs = -Infinity
+  const createListFetch = <Res>(call: PeerCall<Record<string, never>, Res>, apply: (res: Res) => void): (member: string) => Promise<void> => {
+    let lastFetchMs = -Infinity
     return async member => {
-      if (clock.monotonic() - fetchedMs < LIST_PERIOD_MS) return
-      fetchedMs = clock.monotonic()
+      if (clock.monotonic() - lastFetchMs < MIN_LIST_FETCH_INTERVAL_MS) return
+      lastFetchMs = clock.monotonic()
       const reply = await peers.call(member, call, {}, { timeoutMs: CALL_TIMEOUT_MS })
-      if (reply.ok) adopt(reply.val)
+      if (reply.ok) apply(reply.val)
       else logger.info('list-not-fetched', { list: call.kind, peer: member, reason: reply.val.kind })
     }
   }
-  const fetchServers = createFetch(serversCall, reply => { if (reply.servers.length > 0) servers.replaceAll(reply.servers) })
-  const fetchMembers = createFetch(membersCall, reply => { if (reply.members.length > 0) members.replaceAll(reply.members) })
+  const fetchServers = createListFetch(serversCall, reply => { if (reply.servers.length > 0) servers.replaceAll(reply.servers) })
+  const fetchMembers = createListFetch(membersCall, reply => { if (reply.members.length > 0) members.replaceAll(reply.members) })
 
   /** All changes of a moment go in one notice for each list. */
-  const tellChanges = (): void => {
-    isTelling = false
+  const sendChanges = (): void => {
+    isSendScheduled = false
     const followers = options.followers()
     const changedServers = servers.takeChanges()
     const changedMembers = members.takeChanges()
@@ -146,67 +146,67 @@
     if (changedServers !== undefined) peers.notifyLinked(followers, serversNotice, changedServers)
     if (changedMembers !== undefined) peers.notifyLinked(followers, membersNotice, changedMembers)
     const evacuation = options.evacuations.state()
-    if (evacuation.revision !== evacuationTold) peers.notifyLinked(followers, evacuationNotice, evacuation)
-    evacuationTold = evacuation.revision
-    if (cfg.version() === configTold) return
-    configTold = cfg.version()
+    if (evacuation.revision !== sentEvacuationRevision) peers.notifyLinked(followers, evacuationNotice, evacuation)
+    sentEvacuationRevision = evacuation.revision
+    if (cfg.version() === sentConfigVersion) return
+    sentConfigVersion = cfg.version()
     const packed = packedConfig()
     if (packed !== undefined) peers.notifyLinked(followers, configNotice, { packed })
   }
-  const gatherMs = (): number =>
-    options.isLeadingRelays() ? RELAYED_GATHER_MS : Math.max(MIN_GATHER_MS, options.followers().length * GATHER_PER_FOLLOWER_MS)
-  const tellSoon = (): void => {
-    if (isTelling || options.followers().length === 0) return
-    isTelling = true
-    clock.schedule(gatherMs(), () => { if (isTelling) tellChanges() })
+  const batchDelayMs = (): number =>
+    options.isLeadingRelays() ? RELAYED_BATCH_DELAY_MS : Math.max(MIN_BATCH_DELAY_MS, options.followers().length * BATCH_DELAY_PER_FOLLOWER_MS)
+  const scheduleSend = (): void => {
+    if (isSendScheduled || options.followers().length === 0) return
+    isSendScheduled = true
+    clock.schedule(batchDelayMs(), () => { if (isSendScheduled) sendChanges() })
   }
-  servers.onChanged(tellSoon)
-  members.onChanged(tellSoon)
-  cfg.onChanged(tellSoon)
-  options.evacuations.onChanged(tellSoon)
+  servers.onChanged(scheduleSend)
+  members.onChanged(scheduleSend)
+  cfg.onChanged(scheduleSend)
+  options.evacuations.onChanged(scheduleSend)
 
-  const isLacking = (): boolean => cfg.version() === 0 || !servers.isKnown()
-  const isBlind = (): boolean => isLacking() || (!options.isFollowing() && storeAgeMs() > STORE_LOST_MS)
-  const anyPeer = (): string | undefined => {
+  const lacksInitialState = (): boolean => cfg.version() === 0 || !servers.isKnown()
+  const isOutOfDate = (): boolean => lacksInitialState() || (!options.isFollowing() && storeAgeMs() > STORE_CONTACT_TIMEOUT_MS)
+  const pickLinkedPeer = (): string | undefined => {
     const linked = peers.members().map(member => member.id).filter(member => member !== peers.self.id && options.isLinked(member))
     return linked[Math.floor(options.random() * linked.length)]
   }
-  const askNews = async (): Promise<void> => {
-    const member = isBlind() ? anyPeer() : undefined
+  const pollPeerStatus = async (): Promise<void> => {
+    const member = isOutOfDate() ? pickLinkedPeer() : undefined
     if (member === undefined) return
-    const reply = await peers.call(member, newsCall, {}, { timeoutMs: CALL_TIMEOUT_MS })
+    const reply = await peers.call(member, statusCall, {}, { timeoutMs: CALL_TIMEOUT_MS })
     if (reply.err) return logger.info('news-not-heard', { peer: member, reason: reply.val.kind })
-    const news = reply.val
-    if (news.configVersion > cfg.version()) await fetchConfig(member)
-    news.leavingServers.forEach(servers.noteLeaving)
-    options.evacuations.noteTold(news.evacuation)
-    const isPeerBetter = news.storeAgeMs < storeAgeMs()
-    if (news.leading !== undefined) options.onLeaderTold(news.leading)
+    const status = reply.val
+    if (status.configVersion > cfg.version()) await fetchConfig(member)
+    status.leavingServers.forEach(servers.noteLeaving)
+    options.evacuations.applyFromPeer(status.evacuation)
+    const isPeerBetter = status.storeAgeMs < storeAgeMs()
+    if (status.leading !== undefined) options.onLeaderLearned(status.leading)
     // Without members it could report to nobody, and be told nothing.
     if (members.records().length === 0) await fetchMembers(member)
-    if (news.isListKnown && (isPeerBetter || !servers.isKnown())) await fetchServers(member)
+    if (status.isListKnown && (isPeerBetter || !servers.isKnown())) await fetchServers(member)
   }
-  const noteConfigVersion = (member: string, version: number): void => {
+  const observeConfigVersion = (member: string, version: number): void => {
     if (version <= cfg.version()) {
       behindSinceMs = undefined
       return
     }
     behindSinceMs ??= clock.monotonic()
-    if (cfg.version() === 0 || clock.monotonic() - behindSinceMs >= CONFIG_PATIENCE_MS) fetchConfig(member)
+    if (cfg.version() === 0 || clock.monotonic() - behindSinceMs >= CONFIG_NOTICE_TIMEOUT_MS) fetchConfig(member)
   }
 
   return {
-    start: signal => repeat(clock, NEWS_PERIOD_MS, signal, askNews),
-    tellChanges,
-    noteProxy: member => {
+    start: signal => repeat(clock, STATUS_POLL_INTERVAL_MS, signal, pollPeerStatus),
+    sendChanges,
+    syncFromProxy: member => {
       fetchServers(member)
       fetchMembers(member)
     },
-    noteSummary: (member, summary) => {
-      options.onLeaderTold(summary.leading)
+    applySummary: (member, summary) => {
+      options.onLeaderLearned(summary.leading)
       summary.leavingServers.forEach(servers.noteLeaving)
-      options.evacuations.noteTold(summary.evacuation)
-      noteConfigVersion(member, summary.configVersion)
+      options.evacuations.applyFromPeer(summary.evacuation)
+      observeConfigVersion(member, summary.configVersion)
       if (!options.isFollowing()) return
       if (summary.listDigest !== servers.digest()) fetchServers(member)
       if (summary.membersDigest !== members.digest()) fetchMembers(member)
--- a/packages/magnoliabay/src/node/serving/entryServer.ts
+++ b/packages/magnoliabay/src/node/serving/entryServer.ts
@@ -13,13 +13,13 @@
 import type { CallerLimits } from './types'
 
 /** Before a configuration is known, callers are held to nothing but these. */
-const FIRST_LIMITS: CallerLimits = { maxHeaderBytes: 65_536, maxBodyBytes: 4_194_304, headerTimeoutMs: 10_000, idleTimeoutMs: 15_000 }
+const DEFAULT_LIMITS: CallerLimits = { maxHeaderBytes: 65_536, maxBodyBytes: 4_194_304, headerTimeoutMs: 10_000, idleTimeoutMs: 15_000 }
 /** Connections are kept longer than callers reuse them, so that no request crosses the close of its connection. */
-const IDLE_MARGIN_MS = 2000
+const KEEP_ALIVE_MARGIN_MS = 2000
 /** A body may take this long, milliseconds. */
 const BODY_TIMEOUT_MS = 30_000
 
-export interface FrontDoorOptions {
+export interface EntryServerOptions {
   address: string
   serve: (inbound: Inbound) => Promise<void>
   isLeaving: () => boolean
@@ -27,7 +27,7 @@
   logger: Logger
 }
 
-export interface FrontDoor {
+export interface EntryServer {
   start (): Promise<void>
   setLimits (limits: CallerLimits): void
   /** `ip:port` on which it listens. */
@@ -36,17 +36,17 @@
   close (drainMs: number): Promise<void>
 }
 
-export function createFrontDoor (options: FrontDoorOptions): FrontDoor {
+export function createEntryServer (options: EntryServerOptions): EntryServer {
   const { clock, logger, serve } = options
   let readBody: Handler
-  let open = 0
+  let openRequests = 0
 
   const handle = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const arrivedMs = clock.monotonic()
     const entryReq = req as EntryRequest
     entryReq.requestId = createId('req')
-    open += 1
-    res.once('close', () => { open -= 1 })
+    openRequests += 1
+    res.once('close', () => { openRequests -= 1 })
     // A caller that keeps its connection would send its next request to a process that is about to end.
     if (options.isLeaving()) res.setHeader('connection', 'close')
     readBody(entryReq, res, () => {
@@ -56,15 +56,15 @@
       })
     })
   }
-  const server = createServer({ keepAlive: true, noDelay: true, maxHeaderSize: FIRST_LIMITS.maxHeaderBytes }, handle)
+  const server = createServer({ keepAlive: true, noDelay: true, maxHeaderSize: DEFAULT_LIMITS.maxHeaderBytes }, handle)
   handleClientErrors(server, clock)
   const setLimits = (limits: CallerLimits): void => {
     server.headersTimeout = limits.headerTimeoutMs
     server.requestTimeout = limits.headerTimeoutMs + BODY_TIMEOUT_MS
-    server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS
+    server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS
     readBody = bodyMiddleware(clock, { maxBodyBytes: limits.maxBodyBytes, bodyTimeoutMs: BODY_TIMEOUT_MS })
   }
-  setLimits(FIRST_LIMITS)
+  setLimits(DEFAULT_LIMITS)
 
   return {
     setLimits,
@@ -77,7 +77,7 @@
       const closed = new Promise<void>(resolve => { server.close(() => resolve()) })
       server.closeIdleConnections()
       if (await withTimeout(clock, drainMs, closed) !== TIMED_OUT) return
-      logger.warn('requests-cut-by-shutdown', { open })
+      logger.warn('requests-cut-by-shutdown', { open: openRequests })
       server.closeAllConnections()
     }
   }
--- a/packages/magnoliabay/src/node/serving/evacuations.ts
+++ b/packages/magnoliabay/src/node/serving/evacuations.ts
@@ -22,7 +22,7 @@
   begin (failureDomain: string, revision: number): void
   end (failureDomain: string, revision: number): void
   /** A peer tells what it knows; an instance of an older version tells nothing. */
-  noteTold (state: EvacuationState | undefined): void
+  applyFromPeer (state: EvacuationState | undefined): void
   onChanged (listener: () => void): void
 }
 
@@ -34,35 +34,35 @@
 }
 
 /** What a store that was away, or went back to an older copy, lacks is written again within this time, milliseconds. */
-const REWRITTEN_MS = 2500
+const REWRITE_TIMEOUT_MS = 2500
 
-export function createEvacuations ({ storeReachableSinceMs: storeSteadySinceMs, clock, logger }: EvacuationsOptions): Evacuations {
+export function createEvacuations ({ storeReachableSinceMs, clock, logger }: EvacuationsOptions): Evacuations {
   const listeners: Array<() => void> = []
-  const endedMs = new Map<string, number>()
+  const endedMsByDomain = new Map<string, number>()
   let current: EvacuationState = { domains: [], revision: 0 }
 
-  const take = (next: EvacuationState, source: 'store' | 'peer'): void => {
+  const apply = (next: EvacuationState, source: 'store' | 'peer'): void => {
     if (next.revision <= current.revision) return
     const ended = current.domains.filter(domain => !next.domains.includes(domain))
     const isChanged = ended.length > 0 || next.domains.length !== current.domains.length
     current = next
-    ended.forEach(domain => endedMs.set(domain, clock.monotonic()))
+    ended.forEach(domain => endedMsByDomain.set(domain, clock.monotonic()))
     if (!isChanged) return
     logger.info('evacuation', { domains: next.domains, ended, revision: next.revision, source })
     listeners.forEach(listener => listener())
   }
   return {
     isEvacuated: failureDomain => current.domains.includes(failureDomain),
-    endedAgoMs: failureDomain => clock.monotonic() - (endedMs.get(failureDomain) ?? -Infinity),
+    endedAgoMs: failureDomain => clock.monotonic() - (endedMsByDomain.get(failureDomain) ?? -Infinity),
     state: () => current,
     snapshot: (domains, revision) => {
-      const isDoubtful = clock.monotonic() - storeSteadySinceMs() < REWRITTEN_MS && current.domains.some(domain => !domains.includes(domain))
-      if (isDoubtful) clock.schedule(REWRITTEN_MS, () => take({ domains, revision }, 'store'))
-      else take({ domains, revision }, 'store')
+      const mayBeRollback = clock.monotonic() - storeReachableSinceMs() < REWRITE_TIMEOUT_MS && current.domains.some(domain => !domains.includes(domain))
+      if (mayBeRollback) clock.schedule(REWRITE_TIMEOUT_MS, () => apply({ domains, revision }, 'store'))
+      else apply({ domains, revision }, 'store')
     },
-    begin: (failureDomain, revision) => take({ domains: [...new Set([...current.domains, failureDomain])], revision }, 'store'),
-    end: (failureDomain, revision) => take({ domains: current.domains.filter(domain => domain !== failureDomain), revision }, 'store'),
-    noteTold: state => { if (state !== undefined) take(state, 'peer') },
+    begin: (failureDomain, revision) => apply({ domains: [...new Set([...current.domains, failureDomain])], revision }, 'store'),
+    end: (failureDomain, revision) => apply({ domains: current.domains.filter(domain => domain !== failureDomain), revision }, 'store'),
+    applyFromPeer: state => { if (state !== undefined) apply(state, 'peer') },
     onChanged: listener => { listeners.push(listener) }
   }
 }
--- a/packages/magnoliabay/src/node/serving/eventStream.ts
+++ b/packages/magnoliabay/src/node/serving/eventStream.ts
@@ -12,14 +12,14 @@
 /** `doubled`: an event that came before. `gap`: one is missing after a resumption. `malformed`: no event. */
 export type StreamProblem = 'doubled' | 'gap' | 'malformed'
 
-export interface Followed {
+export interface ParsedChunk {
   /** Whole events to pass on. */
   events: Buffer
   problem?: StreamProblem
 }
 
 export interface EventStream {
-  push (chunk: Buffer): Followed
+  push (chunk: Buffer): ParsedChunk
   /** Id of the last event passed on, or undefined before the first. */
   lastId (): number | undefined
   /** Whether a part of an event is held: a stream that ends so was cut. */
@@ -29,42 +29,42 @@
 }
 
 export function createEventStream (): EventStream {
-  let pending: Buffer = Buffer.alloc(0)
-  let last: number | undefined
+  let partial: Buffer = Buffer.alloc(0)
+  let previousId: number | undefined
   let isResuming = false
 
-  const check = (event: Buffer): StreamProblem | undefined => {
+  const checkEvent = (event: Buffer): StreamProblem | undefined => {
     const text = event.toString('latin1')
-    const id = ID_LINE.exec(text)?.[1]
+    const idText = ID_LINE.exec(text)?.[1]
     // A comment carries no id and says nothing of the order.
-    if (id === undefined) return text.startsWith(':') ? undefined : 'malformed'
-    const number = Number(id)
-    if (last !== undefined && number <= last) return 'doubled'
-    if (isResuming && number !== (last ?? 0) + 1) return 'gap'
-    last = number
+    if (idText === undefined) return text.startsWith(':') ? undefined : 'malformed'
+    const eventId = Number(idText)
+    if (previousId !== undefined && eventId <= previousId) return 'doubled'
+    if (isResuming && eventId !== (previousId ?? 0) + 1) return 'gap'
+    previousId = eventId
     isResuming = false
     return undefined
   }
   return {
     push: chunk => {
-      const bytes = pending.length === 0 ? chunk : Buffer.concat([pending, chunk])
+      const bytes = partial.length === 0 ? chunk : Buffer.concat([partial, chunk])
       let start = 0
       for (let end = bytes.indexOf(EVENT_END); end >= 0; end = bytes.indexOf(EVENT_END, start)) {
-        const problem = check(bytes.subarray(start, end))
+        const problem = checkEvent(bytes.subarray(start, end))
         if (problem !== undefined) {
-          pending = Buffer.alloc(0)
+          partial = Buffer.alloc(0)
           return { events: bytes.subarray(0, start), problem }
         }
         start = end + EVENT_END.length
       }
-      pending = bytes.subarray(start)
-      const isTooLong = pending.length > MAX_EVENT_BYTES
+      partial = bytes.subarray(start)
+      const isTooLong = partial.length > MAX_EVENT_BYTES
       return { events: bytes.subarray(0, start), ...(isTooLong ? { problem: 'malformed' as const } : {}) }
     },
-    lastId: () => last,
-    isInEvent: () => pending.length > 0,
+    lastId: () => previousId,
+    isInEvent: () => partial.length > 0,
     resume: () => {
-      pending = Buffer.alloc(0)
+      partial = Buffer.alloc(0)
       isResuming = true
     }
   }
--- a/packages/magnoliabay/src/node/serving/exchange.ts
+++ b/packages/magnoliabay/src/node/serving/exchange.ts
@@ -11,14 +11,14 @@
 import { parseHostPort } from '../utils'
 
 /** Servers that name no timeout may close an idle connection within a second; what is sent then is lost, or run unanswered. */
-const REUSE_UNSTATED_MS = 300
+const DEFAULT_REUSE_TIMEOUT_MS = 300
 /** Part of the stated idle time for which a connection is used again: the request must arrive before the server closes. */
-const REUSE_PART = 0.6
+const REUSE_TIMEOUT_RATIO = 0.6
 /** A connection takes a round trip; one whose first packet was lost would be tried again after seconds. */
 const CONNECT_TIMEOUT_MS = 800
 
 /** A server that lives accepts within a round trip. */
-const PROOF_TIMEOUT_MS = 400
+const PROBE_TIMEOUT_MS = 400
 
 export interface OutboundRequest {
   address: string
@@ -41,7 +41,7 @@
  */
 export type ExchangeEnd = 'whole' | 'unsent' | 'broken'
 
-export interface AnswerSink {
+export interface ResponseHandler {
   onHead (head: ResponseHead): void
   onData (chunk: Buffer): void
   /** Called exactly once, last. */
@@ -53,56 +53,56 @@
   cancel (reason: string): void
 }
 
-function idleLimitMs (keepAlive: string | undefined): number {
-  const stated = /timeout=(\d+)/.exec(keepAlive ?? '')?.[1]
-  return stated === undefined ? REUSE_UNSTATED_MS : Math.max(REUSE_UNSTATED_MS, Number(stated) * 1000 * REUSE_PART)
+function reuseTimeoutMs (keepAlive: string | undefined): number {
+  const statedSeconds = /timeout=(\d+)/.exec(keepAlive ?? '')?.[1]
+  return statedSeconds === undefined ? DEFAULT_REUSE_TIMEOUT_MS : Math.max(DEFAULT_REUSE_TIMEOUT_MS, Number(statedSeconds) * 1000 * REUSE_TIMEOUT_RATIO)
 }
 
-function spoilIdle (this: Socket): void {
+function destroySocket (this: Socket): void {
   this.destroy()
 }
 
 /** Keeps a connection only while it is sure to be good, and drops one that says something unasked. */
-class CarefulAgent extends Agent {
+class KeepAliveAgent extends Agent {
   override keepSocketAlive (socket: Duplex): boolean {
     const used = socket as Socket & { _httpMessage?: { res?: IncomingMessage } }
     const keepAlive = used._httpMessage?.res?.headers['keep-alive']
-    used.setTimeout(idleLimitMs(keepAlive as string | undefined))
+    used.setTimeout(reuseTimeoutMs(keepAlive as string | undefined))
     // Bytes on an idle connection belong to no request: taken for the next answer they would reach the wrong caller.
-    used.on('data', spoilIdle)
+    used.on('data', destroySocket)
     return true
   }
 
   override reuseSocket (socket: Duplex, req: ClientRequest): void {
     const used = socket as Socket
-    used.removeListener('data', spoilIdle)
+    used.removeListener('data', destroySocket)
     used.setTimeout(0)
     super.reuseSocket(socket, req)
   }
 }
 
 export interface Connections {
-  exchange (req: OutboundRequest, sink: AnswerSink): Exchange
+  exchange (req: OutboundRequest, sink: ResponseHandler): Exchange
   /** Whether a server accepts connections. */
-  isAlive (address: string): Promise<boolean>
+  isAccepting (address: string): Promise<boolean>
   /** Drops the idle connections to an address. */
   forget (address: string): void
   close (): void
 }
 
 export function createConnections (clock: Clock): Connections {
-  const agents = new Map<string, CarefulAgent>()
+  const agents = new Map<string, KeepAliveAgent>()
   // Half open: after the other side's end it must still be possible to ask whether that was a reset.
-  const agentOf = (address: string): CarefulAgent => {
-    const agent = agents.get(address) ?? new CarefulAgent({ keepAlive: true, scheduling: 'lifo', allowHalfOpen: true } as AgentOptions)
+  const agentOf = (address: string): KeepAliveAgent => {
+    const agent = agents.get(address) ?? new KeepAliveAgent({ keepAlive: true, scheduling: 'lifo', allowHalfOpen: true } as AgentOptions)
     agents.set(address, agent)
     return agent
   }
   return {
     exchange: (req, sink) => runExchange(agentOf(req.address), clock, req, sink),
-    isAlive: address => {
+    isAccepting: address => {
       const { host, port } = parseHostPort(address)
-      return proveAlive(clock, host, port)
+      return checkAccepting(clock, host, port)
     },
     forget: address => {
       const idle = Object.values(agents.get(address)?.freeSockets ?? {}).flatMap(sockets => sockets ?? [])
@@ -120,7 +120,7 @@
  * tells them apart: a closed connection still takes bytes, one that was reset does not. An empty line is what a server
  * that should still listen has to ignore.
  */
-function proveClosed (socket: Socket): Promise<boolean> {
+function checkNotReset (socket: Socket): Promise<boolean> {
   return new Promise(resolve => socket.write('\r\n', err => resolve(err === undefined || err === null)))
 }
 
@@ -129,18 +129,18 @@
  * whether the server is done or has died in the middle: its system closes what it leaves. A caller would get a part as
  * the whole. One that died refuses a new connection for as long as it takes to start again.
  */
-async function proveAlive (clock: Clock, host: string, port: number): Promise<boolean> {
-  return await probeAddress(clock, { host, port }, PROOF_TIMEOUT_MS) === 'accepted'
+async function checkAccepting (clock: Clock, host: string, port: number): Promise<boolean> {
+  return await probeAddress(clock, { host, port }, PROBE_TIMEOUT_MS) === 'accepted'
 }
 
-function runExchange (agent: Agent, clock: Clock, out: OutboundRequest, sink: AnswerSink): Exchange {
-  const { host, port } = parseHostPort(out.address)
+function runExchange (agent: Agent, clock: Clock, outbound: OutboundRequest, sink: ResponseHandler): Exchange {
+  const { host, port } = parseHostPort(outbound.address)
   let isSent = false
   let hasEnded = false
   let failure: string | undefined
   let response: IncomingMessage | undefined
-  let isProving = false
-  const isWholeByLength = (): boolean => response !== undefined && response.complete &&
+  let isVerifying = false
+  const isCompleteByFraming = (): boolean => response !== undefined && response.complete &&
     (response.headers['content-length'] !== undefined || response.headers['transfer-encoding'] !== undefined)
   /**
    * Without a length only a clean close ends an answer. A reset shows as an error; while the request is still being
@@ -148,16 +148,16 @@
    */
   const isClosedCleanly = (): boolean => failure === undefined && (req.socket?.writableLength ?? 0) === 0
   /** Set when the connection of an answer without length ends: whether it was closed, not reset. */
-  let wasClosed: Promise<boolean> = Promise.resolve(true)
-  const proveWhole = async (): Promise<boolean> => await wasClosed && await proveAlive(clock, host, port)
-  const end = (how: ExchangeEnd, reason: string): void => {
+  let wasNotReset: Promise<boolean> = Promise.resolve(true)
+  const verifyComplete = async (): Promise<boolean> => await wasNotReset && await checkAccepting(clock, host, port)
+  const finish = (kind: ExchangeEnd, reason: string): void => {
     if (hasEnded) return
     hasEnded = true
-    sink.onEnd(how, reason)
+    sink.onEnd(kind, reason)
   }
-  const hasBody = out.body.length > 0
-  const headers = [...out.headers, ...(hasBody || out.method !== 'GET' ? ['Content-Length', String(out.body.length)] : [])]
-  const req = request({ host, port, agent, method: out.method, path: out.path, headers: headers as never, setHost: false })
+  const hasBody = outbound.body.length > 0
+  const headers = [...outbound.headers, ...(hasBody || outbound.method !== 'GET' ? ['Content-Length', String(outbound.body.length)] : [])]
+  const req = request({ host, port, agent, method: outbound.method, path: outbound.path, headers: headers as never, setHost: false })
   req.on('socket', socket => {
     socket.setNoDelay(true)
     if (!socket.connecting) {
@@ -174,31 +174,31 @@
   req.on('error', err => {
     failure = err.message
     // Bytes after a whole answer spoil the connection, not the answer: its end is told by the answer itself.
-    if (isWholeByLength()) return
-    end(isSent ? 'broken' : 'unsent', err.message)
+    if (isCompleteByFraming()) return
+    finish(isSent ? 'broken' : 'unsent', err.message)
   })
   req.on('response', res => {
     response = res
     const isFramed = res.headers['content-length'] !== undefined || res.headers['transfer-encoding'] !== undefined
-    if (!isFramed) res.socket.prependOnceListener('end', () => { wasClosed = proveClosed(res.socket) })
+    if (!isFramed) res.socket.prependOnceListener('end', () => { wasNotReset = checkNotReset(res.socket) })
     sink.onHead({ status: res.statusCode ?? 0, headers: res.headers, rawHeaders: res.rawHeaders })
     res.on('data', (chunk: Buffer) => { if (!hasEnded) sink.onData(chunk) })
-    res.on('error', err => end('broken', err.message))
+    res.on('error', err => finish('broken', err.message))
     res.on('end', () => {
-      if (isWholeByLength()) return end('whole', 'answer ended')
-      if (!res.complete || !isClosedCleanly()) return end('broken', failure ?? 'answer cut')
-      isProving = true
-      proveWhole().then(isWhole => end(isWhole ? 'whole' : 'broken', isWhole ? 'connection closed' : 'connection reset, or server has died'))
+      if (isCompleteByFraming()) return finish('whole', 'answer ended')
+      if (!res.complete || !isClosedCleanly()) return finish('broken', failure ?? 'answer cut')
+      isVerifying = true
+      verifyComplete().then(isComplete => finish(isComplete ? 'whole' : 'broken', isComplete ? 'connection closed' : 'connection reset, or server has died'))
     })
-    res.on('close', () => { if (!isProving) end('broken', failure ?? 'connection closed within the answer') })
+    res.on('close', () => { if (!isVerifying) finish('broken', failure ?? 'connection closed within the answer') })
   })
   req.on('close', () => {
-    if (!isWholeByLength() && !isProving) end(isSent ? 'broken' : 'unsent', failure ?? 'connection closed')
+    if (!isCompleteByFraming() && !isVerifying) finish(isSent ? 'broken' : 'unsent', failure ?? 'connection closed')
   })
-  req.end(hasBody ? out.body : undefined)
+  req.end(hasBody ? outbound.body : undefined)
   return {
     cancel: reason => {
-      end(isSent ? 'broken' : 'unsent', reason)
+      finish(isSent ? 'broken' : 'unsent', reason)
       req.destroy()
     }
   }
--- a/packages/magnoliabay/src/node/serving/fleetTotals.ts
+++ b/packages/magnoliabay/src/node/serving/fleetTotals.ts
@@ -6,7 +6,7 @@
 import { addCount } from '../utils'
 import type { InFlight, InstanceReport, MemberState, ModelDemand, ServerLoad, SilentServer } from './fleetMessages'
 
-interface Held {
+interface StoredReport {
   report: InstanceReport
   atMs: number
 }
@@ -25,16 +25,16 @@
   /** Everybody who reports, here or by way of another. */
   states (): readonly MemberState[]
   /** Requests at a server, of all models. */
-  atServer (server: string): number
+  inFlightAtServer (server: string): number
   /** Requests for a model at a server. */
   inFlight (server: string, model: string): number
   /** Requests for a model at all servers. */
-  running (model: string): number
+  inFlightOfModel (model: string): number
   demand (model: string): { rate: number, waiting: number }
   /** Models that are asked for. */
-  models (): readonly string[]
+  modelsInDemand (): readonly string[]
   /** Instances that hear nothing from a server. */
-  silentFor (server: string): number
+  silenceReportCount (server: string): number
   loads (): readonly ServerLoad[]
   inFlightByServer (): readonly InFlight[]
   demandByModel (): readonly ModelDemand[]
@@ -43,21 +43,21 @@
 }
 
 /** Sums of rates that fell below this are rounding errors of what was added and taken away again. */
-const LEAST_RATE = 1e-6
+const MIN_RATE = 1e-6
 
-interface Asked {
+interface Demand {
   rate: number
   waiting: number
 }
 
-const NOT_ASKED: Asked = { rate: 0, waiting: 0 }
+const NO_DEMAND: Demand = { rate: 0, waiting: 0 }
 
 export function createFleetTotals (): FleetTotals {
-  const held = new Map<string, Held>()
+  const reports = new Map<string, StoredReport>()
   const byServer = new Map<string, Map<string, number>>()
   const byModel = new Map<string, number>()
-  const asked = new Map<string, Asked>()
-  const silent = new Map<string, number>()
+  const demandOfModel = new Map<string, Demand>()
+  const silenceReports = new Map<string, number>()
   const states = new Map<string, MemberState & { via: string }>()
 
   const addInFlight = (server: string, model: string, change: number): void => {
@@ -67,55 +67,55 @@
     if (models.size === 0) byServer.delete(server)
     addCount(byModel, model, change)
   }
-  const addAsked = (model: string, rate: number, waiting: number): void => {
-    const before = asked.get(model) ?? NOT_ASKED
+  const addDemand = (model: string, rate: number, waiting: number): void => {
+    const before = demandOfModel.get(model) ?? NO_DEMAND
     const next = { rate: before.rate + rate, waiting: before.waiting + waiting }
-    if (next.rate < LEAST_RATE && next.waiting === 0) asked.delete(model)
-    else asked.set(model, next)
+    if (next.rate < MIN_RATE && next.waiting === 0) demandOfModel.delete(model)
+    else demandOfModel.set(model, next)
   }
   const apply = (report: InstanceReport, sign: 1 | -1): void => {
     report.inFlight.forEach(({ server, model, count }) => addInFlight(server, model, sign * count))
-    report.demand.forEach(({ model, rate, waiting }) => addAsked(model, sign * rate, sign * waiting))
-    report.silentServers.forEach(({ server, tellers }) => addCount(silent, server, sign * tellers))
+    report.demand.forEach(({ model, rate, waiting }) => addDemand(model, sign * rate, sign * waiting))
+    report.silentServers.forEach(({ server, tellers }) => addCount(silenceReports, server, sign * tellers))
   }
   const drop = (member: string): void => {
-    const found = held.get(member)
-    if (found === undefined) return
-    apply(found.report, -1)
-    held.delete(member)
+    const stored = reports.get(member)
+    if (stored === undefined) return
+    apply(stored.report, -1)
+    reports.delete(member)
     // One that reports by way of another meanwhile is there still.
-    const told = [member, ...found.report.below.map(({ id }) => id)]
-    told.filter(id => states.get(id)?.via === member).forEach(id => states.delete(id))
+    const reported = [member, ...stored.report.below.map(({ id }) => id)]
+    reported.filter(id => states.get(id)?.via === member).forEach(id => states.delete(id))
   }
 
   return {
     put: (member, report, nowMs) => {
       drop(member)
       apply(report, 1)
-      held.set(member, { report, atMs: nowMs })
+      reports.set(member, { report, atMs: nowMs })
       report.below.forEach(state => states.set(state.id, { ...state, via: member }))
       states.set(member, { id: member, isReady: report.isReady, via: member })
     },
     drop,
     expire: (maxAgeMs, nowMs) => {
-      const stale = [...held].filter(([, { atMs }]) => nowMs - atMs > maxAgeMs).map(([member]) => member)
+      const stale = [...reports].filter(([, { atMs }]) => nowMs - atMs > maxAgeMs).map(([member]) => member)
       stale.forEach(drop)
       return stale
     },
-    reporters: () => [...held.keys()],
-    report: member => held.get(member)?.report,
+    reporters: () => [...reports.keys()],
+    report: member => reports.get(member)?.report,
     stateOf: member => states.get(member),
     states: () => [...states.values()].map(({ id, isReady }) => ({ id, isReady })),
-    atServer: server => [...byServer.get(server)?.values() ?? []].reduce((sum, count) => sum + count, 0),
+    inFlightAtServer: server => [...byServer.get(server)?.values() ?? []].reduce((sum, count) => sum + count, 0),
     inFlight: (server, model) => byServer.get(server)?.get(model) ?? 0,
-    running: model => byModel.get(model) ?? 0,
-    demand: model => asked.get(model) ?? NOT_ASKED,
-    models: () => [...asked.keys()],
-    silentFor: server => silent.get(server) ?? 0,
+    inFlightOfModel: model => byModel.get(model) ?? 0,
+    demand: model => demandOfModel.get(model) ?? NO_DEMAND,
+    modelsInDemand: () => [...demandOfModel.keys()],
+    silenceReportCount: server => silenceReports.get(server) ?? 0,
     loads: () => [...byServer].map(([server, models]) => ({ server, count: [...models.values()].reduce((sum, count) => sum + count, 0) })),
     inFlightByServer: () => [...byServer].flatMap(([server, models]) => [...models].map(([model, count]) => ({ server, model, count }))),
-    demandByModel: () => [...asked].map(([model, { rate, waiting }]) => ({ model, rate, waiting })),
-    silentServers: () => [...silent].map(([server, tellers]) => ({ server, tellers })),
-    leavingServers: () => [...new Set([...held.values()].flatMap(({ report }) => report.leavingServers))]
+    demandByModel: () => [...demandOfModel].map(([model, { rate, waiting }]) => ({ model, rate, waiting })),
+    silentServers: () => [...silenceReports].map(([server, tellers]) => ({ server, tellers })),
+    leavingServers: () => [...new Set([...reports.values()].flatMap(({ report }) => report.leavingServers))]
   }
 }
--- a/packages/magnoliabay/src/node/serving/fleetView.ts
+++ b/packages/magnoliabay/src/node/serving/fleetView.ts
@@ -13,26 +13,26 @@
 import { createUpstream } from './upstream'
 
 /** Time between two reports, for each member, so that the leader's work stays the same in a larger fleet, milliseconds. */
-const PERIOD_PER_MEMBER_MS = 6
-const MIN_PERIOD_MS = 125
+const REPORT_INTERVAL_PER_MEMBER_MS = 6
+const MIN_REPORT_INTERVAL_MS = 125
 /** The same where relays add up reports, milliseconds. */
-const RELAYED_PERIOD_MS = 500
+const RELAYED_REPORT_INTERVAL_MS = 500
 /**
  * Where relays add up reports all report at one moment, so that what several send wakes an instance once; a relay does so
  * by so much later, when those below it have, and the leader tells the sums when the relays have, milliseconds.
  */
-const RELAY_OFFSET_MS = 20
-const SUM_OFFSET_MS = 40
+const RELAY_REPORT_OFFSET_MS = 20
+const SUMMARY_OFFSET_MS = 40
 /** Changes that cannot wait are gathered for this long, milliseconds, for each member and at least. */
-const SOON_PER_MEMBER_MS = 1
-const MIN_SOON_MS = 15
+const URGENT_DELAY_PER_MEMBER_MS = 1
+const MIN_URGENT_DELAY_MS = 15
 /** The same for a relay that is told something urgent, milliseconds. */
-const RELAY_SOON_MS = 100
+const RELAY_URGENT_DELAY_MS = 100
 /** What was told is dropped after so many periods without a word, and not before so many milliseconds. */
-const STALE_PERIODS = 4
+const STALE_INTERVALS = 4
 const MIN_STALE_MS = 2500
 /** Sums older than this many periods no longer stand for the store's list of servers, and not before so long. */
-const FRESH_PERIODS = 3
+const FRESH_INTERVALS = 3
 const MIN_FRESH_MS = 750
 /** A leader that has not heard the store for longer than this cannot tell what changed in it. */
 const MAX_LEADER_STORE_AGE_MS = 1500
@@ -63,7 +63,7 @@
   leader: () => string | undefined
   own: () => InstanceReport
   /** What this instance and those below it have spent. */
-  spentWithBelow: () => InstanceReport['spent']
+  spentWithDownstream: () => InstanceReport['spent']
   /** By what this instance leads. */
   leading: () => LeadershipTerm | undefined
   /** The latest claim that is known here, by its revision. */
@@ -82,7 +82,7 @@
   /** Begins telling. */
   start (signal: AbortSignal): void
   /** Something changed that others decide by: tells it ahead of time. */
-  tellSoon (): void
+  reportSoon (): void
   /** Members whose reports come here. */
   reporters (): readonly string[]
   /** The linked peer that heard the store last, by its report; known to the leader. */
@@ -97,9 +97,9 @@
   isFollowing (): boolean
 }
 
-interface HeldSummary {
+interface ReceivedSummary {
   /** Who told it or passed it on. */
-  from: string
+  sender: string
   summary: FleetSummary
   loads: ReadonlyMap<string, number>
   unavailable: ReadonlySet<string>
@@ -111,42 +111,42 @@
   const self = peers.self.id
   const totals = createFleetTotals()
   /** What this instance told last, by server: part of the sums. */
-  let toldLoads = new Map<string, number>()
-  let held: HeldSummary | undefined
+  let ownReportedLoads = new Map<string, number>()
+  let latestSummary: ReceivedSummary | undefined
   let leadingSinceMs = Infinity
-  let summaries = 0
-  let isSoon = false
-  let tellNow = (): void => {}
-  let cancelNext = (): void => {}
+  let summaryCount = 0
+  let isReportPending = false
+  let reportNow = (): void => {}
+  let cancelNextReport = (): void => {}
 
-  const perMember = (ms: number, least: number): number => Math.max(least, peers.members().length * ms)
+  const scaledByMembers = (perMemberMs: number, minMs: number): number => Math.max(minMs, peers.members().length * perMemberMs)
   const upstream = createUpstream({ peers, leader, silentMs: () => staleMs(), clock })
-  const periodMs = (): number => upstream.isRelayed() ? RELAYED_PERIOD_MS : perMember(PERIOD_PER_MEMBER_MS, MIN_PERIOD_MS)
-  const untilNextMs = (offsetMs: number): number =>
-    upstream.isRelayed() ? delayToNextWallClockPeriod(clock, periodMs(), offsetMs) : delayToNextPeriod(clock, periodMs())
-  const staleMs = (): number => Math.max(MIN_STALE_MS, STALE_PERIODS * periodMs())
+  const reportIntervalMs = (): number => upstream.isRelayed() ? RELAYED_REPORT_INTERVAL_MS : scaledByMembers(REPORT_INTERVAL_PER_MEMBER_MS, MIN_REPORT_INTERVAL_MS)
+  const delayToNextMs = (offsetMs: number): number =>
+    upstream.isRelayed() ? delayToNextWallClockPeriod(clock, reportIntervalMs(), offsetMs) : delayToNextPeriod(clock, reportIntervalMs())
+  const staleMs = (): number => Math.max(MIN_STALE_MS, STALE_INTERVALS * reportIntervalMs())
   const isLeading = (): boolean => leader() === self
-  const standing = (): HeldSummary | undefined =>
-    held !== undefined && clock.monotonic() - held.atMs < staleMs() ? held : undefined
-  const sumAt = (server: string): number => isLeading() ? totals.atServer(server) : standing()?.loads.get(server) ?? 0
+  const currentSummary = (): ReceivedSummary | undefined =>
+    latestSummary !== undefined && clock.monotonic() - latestSummary.atMs < staleMs() ? latestSummary : undefined
+  const totalInFlightAt = (server: string): number => isLeading() ? totals.inFlightAtServer(server) : currentSummary()?.loads.get(server) ?? 0
   const reporters = (): string[] => totals.reporters().filter(member => member !== self)
 
-  const summaryNow = (leading: LeadershipTerm): FleetSummary => {
+  const buildSummary = (leading: LeadershipTerm): FleetSummary => {
     options.beforeSummary()
-    summaries += 1
-    return { leading, count: summaries, ...options.summary(), loads: totals.loads(), unavailable: unavailable(), leavingServers: totals.leavingServers() }
+    summaryCount += 1
+    return { leading, count: summaryCount, ...options.summary(), loads: totals.loads(), unavailable: unavailable(), leavingServers: totals.leavingServers() }
   }
   /** What is passed on later than it came is older by so much. */
-  const aged = ({ summary, atMs }: HeldSummary): FleetSummary => {
+  const withCurrentAge = ({ summary, atMs }: ReceivedSummary): FleetSummary => {
     const ageMs = clock.monotonic() - atMs
     return { ...summary, storeAgeMs: summary.storeAgeMs + ageMs, storeSteadyMs: summary.storeSteadyMs + ageMs }
   }
   /** One that has just begun to report here is told at once what it would else learn with the next summary. */
-  const answer = (member: string): void => {
+  const sendLatestSummary = (member: string): void => {
     const leading = isLeading() ? options.leading() : undefined
-    const last = standing()
-    if (leading !== undefined) peers.notifyLinked([member], summaryNotice, summaryNow(leading))
-    else if (last !== undefined) peers.notifyLinked([member], summaryNotice, aged(last))
+    const current = currentSummary()
+    if (leading !== undefined) peers.notifyLinked([member], summaryNotice, buildSummary(leading))
+    else if (current !== undefined) peers.notifyLinked([member], summaryNotice, withCurrentAge(current))
   }
   peers.listen(reportNotice, (report, from) => {
     // Two that report to each other, as their lists of members differ, would add up the same again and again.
@@ -154,21 +154,21 @@
     const isNew = totals.report(from.id) === undefined
     totals.put(from.id, report, clock.monotonic())
     options.onReport(from, report)
-    if (isNew) answer(from.id)
-    if (report.isUrgent && !isLeading()) tellSoonIn(RELAY_SOON_MS)
+    if (isNew) sendLatestSummary(from.id)
+    if (report.isUrgent && !isLeading()) scheduleReport(RELAY_URGENT_DELAY_MS)
   })
   /** A former leader that goes on, or a relay that stood still, tells what is out of date. */
-  const isNews = ({ leading, count }: FleetSummary): boolean => {
+  const isNewer = ({ leading, count }: FleetSummary): boolean => {
     if (leading.claim.holder === self || leading.revision < options.latestClaim()) return false
-    const known = held?.summary
+    const known = latestSummary?.summary
     if (known === undefined || leading.revision !== known.leading.revision) return leading.revision > (known?.leading.revision ?? 0)
     return count > known.count
   }
   peers.listen(summaryNotice, (summary, from) => {
     upstream.noteHeard(from.id)
-    if (!isNews(summary)) return
-    held = {
-      from: from.id,
+    if (!isNewer(summary)) return
+    latestSummary = {
+      sender: from.id,
       summary,
       loads: new Map(summary.loads.map(({ server, count }) => [server, count])),
       unavailable: new Set(summary.unavailable),
@@ -182,20 +182,20 @@
   })
 
   /** A link that has ended tells of those who report here sooner than their silence. */
-  const isThere = ({ id, isReady, via }: MemberState & { via: string }): boolean => isReady && (via !== id || options.isLinked(id))
-  const isAway = (member: string): boolean => {
+  const isReadyAndLinked = ({ id, isReady, via }: MemberState & { via: string }): boolean => isReady && (via !== id || options.isLinked(id))
+  const isUnavailable = (member: string): boolean => {
     const state = totals.stateOf(member)
-    if (state !== undefined) return !isThere(state)
+    if (state !== undefined) return !isReadyAndLinked(state)
     // One that has just begun to lead has not heard everybody yet.
     return clock.monotonic() - leadingSinceMs > staleMs()
   }
-  const unavailable = (): string[] => peers.members().map(member => member.id).filter(member => member !== self && isAway(member))
-  const noteTold = (report: InstanceReport): void => {
-    toldLoads = new Map()
-    report.inFlight.forEach(({ server, count }) => toldLoads.set(server, (toldLoads.get(server) ?? 0) + count))
+  const unavailable = (): string[] => peers.members().map(member => member.id).filter(member => member !== self && isUnavailable(member))
+  const recordReportedLoads = (report: InstanceReport): void => {
+    ownReportedLoads = new Map()
+    report.inFlight.forEach(({ server, count }) => ownReportedLoads.set(server, (ownReportedLoads.get(server) ?? 0) + count))
   }
   /** Adds up what those below reported. */
-  const withBelow = (current: InstanceReport): InstanceReport => {
+  const withDownstream = (current: InstanceReport): InstanceReport => {
     totals.drop(self)
     totals.expire(staleMs(), clock.monotonic())
     const states = totals.states()
@@ -206,83 +206,83 @@
       demand: [...current.demand, ...totals.demandByModel()],
       leavingServers: [...new Set([...current.leavingServers, ...totals.leavingServers()])],
       silentServers: [...current.silentServers, ...totals.silentServers()],
-      spent: options.spentWithBelow(),
-      below: states.map(({ id }) => ({ id, isReady: isThere(totals.stateOf(id)!) }))
+      spent: options.spentWithDownstream(),
+      below: states.map(({ id }) => ({ id, isReady: isReadyAndLinked(totals.stateOf(id)!) }))
     }
   }
-  const report = (): void => {
-    const to = upstream.current()
-    const current = { ...own(), isUrgent: isSoon }
-    noteTold(current)
-    if (to === self) totals.put(self, current, clock.monotonic())
-    else if (to !== undefined) peers.notify(to, reportNotice, withBelow(current))
+  const sendReport = (): void => {
+    const receiver = upstream.current()
+    const current = { ...own(), isUrgent: isReportPending }
+    recordReportedLoads(current)
+    if (receiver === self) totals.put(self, current, clock.monotonic())
+    else if (receiver !== undefined) peers.notify(receiver, reportNotice, withDownstream(current))
   }
-  const summarize = (): void => {
+  const sendSummary = (): void => {
     totals.expire(staleMs(), clock.monotonic())
     const leading = isLeading() ? options.leading() : undefined
-    const below = reporters()
-    if (leading !== undefined && below.length > 0) peers.notifyLinked(below, summaryNotice, summaryNow(leading))
+    const downstream = reporters()
+    if (leading !== undefined && downstream.length > 0) peers.notifyLinked(downstream, summaryNotice, buildSummary(leading))
   }
-  const noteLeading = (): void => {
+  const trackLeadership = (): void => {
     if (!isLeading()) leadingSinceMs = Infinity
     else if (leadingSinceMs === Infinity) leadingSinceMs = clock.monotonic()
   }
-  const tellSoonIn = (delayMs: number): void => {
-    if (isSoon) return
-    isSoon = true
-    clock.schedule(delayMs, () => { if (isSoon) tellNow() })
+  const scheduleReport = (delayMs: number): void => {
+    if (isReportPending) return
+    isReportPending = true
+    clock.schedule(delayMs, () => { if (isReportPending) reportNow() })
   }
 
-  const byStoreAge = (): string[] => {
+  const reportersByStoreAge = (): string[] => {
     const ages = reporters().filter(options.isLinked).map(member => ({ member, ageMs: totals.report(member)?.storeAgeMs ?? Infinity }))
     return ages.sort((left, right) => left.ageMs - right.ageMs).map(({ member }) => member)
   }
-  const isToldByLeader = (): boolean => held !== undefined && held.from === held.summary.leading.claim.holder
+  const isSentByLeader = (): boolean => latestSummary !== undefined && latestSummary.sender === latestSummary.summary.leading.claim.holder
 
   return {
-    inFlightElsewhere: server => Math.max(0, sumAt(server) - (toldLoads.get(server) ?? 0)),
+    inFlightElsewhere: server => Math.max(0, totalInFlightAt(server) - (ownReportedLoads.get(server) ?? 0)),
     inFlight: totals.inFlight,
-    inFlightOfModel: totals.running,
+    inFlightOfModel: totals.inFlightOfModel,
     demand: totals.demand,
-    modelsInDemand: totals.models,
-    silenceReportCount: totals.silentFor,
-    isAvailable: member => isLeading() ? !isAway(member) : !(standing()?.unavailable.has(member) ?? false),
+    modelsInDemand: totals.modelsInDemand,
+    silenceReportCount: totals.silenceReportCount,
+    isAvailable: member => isLeading() ? !isUnavailable(member) : !(currentSummary()?.unavailable.has(member) ?? false),
     reporters,
     isRelayed: upstream.isRelayed,
     isRelay: upstream.isRelay,
-    peerWithLatestStoreContact: () => byStoreAge()[0],
+    peerWithLatestStoreContact: () => reportersByStoreAge()[0],
     peersWithStoreAccess: () => {
-      const above = held === undefined ? [] : [held.summary.leading.claim.holder, held.from]
-      return [...new Set([...above, ...byStoreAge()])].filter(member => member !== self)
+      const upstreamMembers = latestSummary === undefined ? [] : [latestSummary.summary.leading.claim.holder, latestSummary.sender]
+      return [...new Set([...upstreamMembers, ...reportersByStoreAge()])].filter(member => member !== self)
     },
     isFollowing: () => {
-      if (isLeading() || held === undefined) return false
-      const ageMs = clock.monotonic() - held.atMs
+      if (isLeading() || latestSummary === undefined) return false
+      const ageMs = clock.monotonic() - latestSummary.atMs
       // A leader that has the store back holds removals for a while, since they may be lapses. For one who heard the
       // store all the time that would be too long: it goes by its own watch.
-      if (held.summary.storeSteadyMs + ageMs < DOUBT_MS) return false
+      if (latestSummary.summary.storeSteadyMs + ageMs < DOUBT_MS) return false
       // Relays are the first to know that the leader has ended, and those below wait for the next one through them.
-      if (upstream.isRelayed() && isToldByLeader() && !options.isLinked(held.from)) return false
-      return ageMs < Math.max(MIN_FRESH_MS, FRESH_PERIODS * periodMs()) && held.summary.storeAgeMs + ageMs < MAX_LEADER_STORE_AGE_MS
+      if (upstream.isRelayed() && isSentByLeader() && !options.isLinked(latestSummary.sender)) return false
+      return ageMs < Math.max(MIN_FRESH_MS, FRESH_INTERVALS * reportIntervalMs()) && latestSummary.summary.storeAgeMs + ageMs < MAX_LEADER_STORE_AGE_MS
     },
     start: signal => {
-      const tell = (): void => {
+      const runReport = (): void => {
         if (signal.aborted) return
-        cancelNext()
-        report()
-        isSoon = false
-        cancelNext = clock.schedule(untilNextMs(upstream.isRelay() ? RELAY_OFFSET_MS : 0), tell)
+        cancelNextReport()
+        sendReport()
+        isReportPending = false
+        cancelNextReport = clock.schedule(delayToNextMs(upstream.isRelay() ? RELAY_REPORT_OFFSET_MS : 0), runReport)
       }
-      const sum = (): void => {
+      const runSummary = (): void => {
         if (signal.aborted) return
-        noteLeading()
-        summarize()
-        clock.schedule(untilNextMs(SUM_OFFSET_MS), sum)
+        trackLeadership()
+        sendSummary()
+        clock.schedule(delayToNextMs(SUMMARY_OFFSET_MS), runSummary)
       }
-      tellNow = tell
-      cancelNext = clock.schedule(MIN_PERIOD_MS, tell)
-      clock.schedule(MIN_PERIOD_MS, sum)
+      reportNow = runReport
+      cancelNextReport = clock.schedule(MIN_REPORT_INTERVAL_MS, runReport)
+      clock.schedule(MIN_REPORT_INTERVAL_MS, runSummary)
     },
-    tellSoon: () => tellSoonIn(upstream.isRelayed() ? MIN_SOON_MS : perMember(SOON_PER_MEMBER_MS, MIN_SOON_MS))
+    reportSoon: () => scheduleReport(upstream.isRelayed() ? MIN_URGENT_DELAY_MS : scaledByMembers(URGENT_DELAY_PER_MEMBER_MS, MIN_URGENT_DELAY_MS))
   }
 }
--- a/packages/magnoliabay/src/node/serving/requestEnd.ts
+++ b/packages/magnoliabay/src/node/serving/requestEnd.ts
@@ -1,5 +1,5 @@
 /** How a request ends: the one line that says so, and what its caller is told. */
-import { sendWhole } from './attempt'
+import { sendCompleteResponse } from './attempt'
 import type { ServingContext } from './servingContext'
 import { statusOf } from './refusal'
 import type { Refusal } from './refusal'
@@ -59,7 +59,7 @@
     const mayHaveRun = run.trail.state() !== 'untouched'
     if (run.unitsTaken > 0 && !mayHaveRun && run.admitted.team !== undefined) allowance.refund(run.admitted.team, run.unitsTaken)
     if (run.lastAnswer !== undefined && mayHaveRun && !run.inbound.res.headersSent) {
-      sendWhole(run.inbound.res, run.lastAnswer, wire.toCallerHeaders)
+      sendCompleteResponse(run.inbound.res, run.lastAnswer, wire.toCallerHeaders)
       return logEnd(run, `relayed ${run.lastAnswer.head.status}`)
     }
     refuse(run.inbound, run.caller, refusal, mayHaveRun, factsOf(run))
--- a/packages/magnoliabay/src/node/serving/requestHandler.ts
+++ b/packages/magnoliabay/src/node/serving/requestHandler.ts
@@ -147,14 +147,14 @@
       events: run.events,
       attemptId: caller.attemptId,
       res: inbound.res,
-      decodeAnswer: wire.decodeResponseHead,
-      returnedHeaders: wire.toCallerHeaders,
-      holdsBack: status => status >= SERVER_ERROR_FROM && mayRepeat(run),
-      onHeard: () => {
+      decodeResponseHead: wire.decodeResponseHead,
+      toCallerHeaders: wire.toCallerHeaders,
+      isRetryableStatus: status => status >= SERVER_ERROR_FROM && mayRepeat(run),
+      onActivity: () => {
         ctx.noteActivity('server')
         health.noteHeard(id)
       },
-      onFirst: () => { run.firstMs ??= clock.monotonic() - inbound.arrivedMs }
+      onFirstByte: () => { run.firstMs ??= clock.monotonic() - inbound.arrivedMs }
     })
     run.attempt = attempt
     const cancelCheck = checkSilence(run, attempt, id)
@@ -171,7 +171,7 @@
   const checkSilence = (run: Run, attempt: Attempt, id: string): () => void => {
     let cancel = (): void => {}
     const check = (): void => {
-      if (mayRepeat(run) && health.isSilent(id)) return attempt.giveUp('server is silent')
+      if (mayRepeat(run) && health.isSilent(id)) return attempt.fail('server is silent')
       cancel = clock.schedule(SILENCE_CHECK_MS, check)
     }
     if (mayRepeat(run)) cancel = clock.schedule(SILENCE_CHECK_MS, check)
@@ -181,7 +181,7 @@
   const noteCrash = async (run: Run, server: BackendServer, ended: AttemptEnd): Promise<void> => {
     const { suspects } = ctx
     if (ended.kind === 'relayed' && suspects.assess(run.fingerprint) === 'suspect') return suspects.clear(run.fingerprint)
-    const isBroken = ended.kind === 'cut' || (ended.kind === 'failed' && ended.answer === undefined)
+    const isBroken = ended.kind === 'cut' || (ended.kind === 'failed' && ended.response === undefined)
     if (isBroken && await suspects.hasCrashed(server.address)) suspects.recordCrash(run.fingerprint, serverProcessId(server))
   }
   const noteHealth = (id: string, ended: AttemptEnd): void => {
@@ -233,7 +233,7 @@
         return true
       case 'failed':
         run.trail.record('lose')
-        run.lastAnswer = ended.answer ?? run.lastAnswer
+        run.lastAnswer = ended.response ?? run.lastAnswer
         logger.info('attempt-failed', { request: run.caller.attemptId, server: server.id, reason: ended.reason, repeatable: mayRepeat(run) })
         run.tried.add(id)
         return repeatOrEnd(run, 'server-failed')
--- a/packages/magnoliabay/src/node/serving/requestRun.ts
+++ b/packages/magnoliabay/src/node/serving/requestRun.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ExecutionTracker } from '../outcomes'
 import type { Admitted } from './requestAdmission'
-import type { Attempt, WholeAnswer } from './attempt'
+import type { Attempt, CompleteResponse } from './attempt'
 import type { EventStream } from './eventStream'
 import type { EndReason } from './refusal'
 import type { BackendServer, CallerRequest } from './types'
@@ -35,7 +35,7 @@
   unitsTaken: number
   attempt: Attempt | undefined
   /** A failure that a server answered, told if nothing better comes. */
-  lastAnswer: WholeAnswer | undefined
+  lastAnswer: CompleteResponse | undefined
   server: BackendServer | undefined
   waitedMs: number
   /** Until the first bytes of an answer went to the caller, milliseconds. */
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -28,8 +28,8 @@
 import { createEvacuations } from './evacuations'
 import { createFleetView } from './fleetView'
 import type { InstanceReport } from './fleetMessages'
-import { createFrontDoor } from './entryServer'
-import { forgetGoneServers } from './departedServers'
+import { createEntryServer } from './entryServer'
+import { cleanUpDepartedServers } from './departedServers'
 import { createServingMetrics } from './metrics'
 import { LEADER_KEY, createLeaderElection } from './placement/leaderElection'
 import { createPeerLeaseRenewal } from './placement/peerLeaseRenewal'
@@ -42,7 +42,7 @@
 import type { StoreFeedsOptions } from './storeWatches'
 import { createStoreProxy } from './storeProxy'
 import { createStoreTurn } from './storeReadPolicy'
-import { createSpread } from './dissemination'
+import { createDissemination } from './dissemination'
 import { serverProcessId } from './types'
 import type { RequestKind } from './types'
 import type { ServingProtocol } from './servingProtocol'
@@ -214,10 +214,10 @@
     isLinked,
     leader,
     own: ownReport,
-    spentWithBelow: () => allowance.subtreeSpending(),
+    spentWithDownstream: () => allowance.subtreeSpending(),
     leading: () => leadership.ownClaim(),
     latestClaim: () => leadership.latestClaimRevision(),
-    beforeSummary: () => spread.tellChanges(),
+    beforeSummary: () => spread.sendChanges(),
     summary: () => ({
       configVersion: cfg.version(),
       storeAgeMs: Math.round(proxy.sight().ageMs),
@@ -232,7 +232,7 @@
       allowance.notePeerSpending(member.incarnation, report.spent)
     },
     onSummary: (member, summary) => {
-      spread.noteSummary(member.id, summary)
+      spread.applySummary(member.id, summary)
       allowance.noteFleetSpending(summary.spent)
     }
   })
@@ -241,11 +241,11 @@
     isLeading: () => leadership.isLeaseHolder(),
     own: () => ({ ageMs: storeAgeMs(), steadyMs: clock.monotonic() - store.reachableSinceMs() }),
     candidates: table.peersWithStoreAccess,
-    onProxied: member => spread.noteProxy(member),
+    onProxied: member => spread.syncFromProxy(member),
     clock,
     logger
   })
-  const spread = createSpread({ peers, cfg, servers, evacuations, members: membership, storeAgeMs, leading: () => leadership.ownClaim() ?? leadership.knownClaim(), followers: () => [...table.reporters(), ...proxy.clients()], isProxy: member => proxy.current() === member, isLeadingRelays: () => leadership.isLeaseHolder() && table.isRelayed(), isFollowing: table.isFollowing, isLinked, onLeaderTold: leading => leadership.noteClaimFromPeer(leading), clock, logger, random })
+  const spread = createDissemination({ peers, cfg, servers, evacuations, members: membership, storeAgeMs, leading: () => leadership.ownClaim() ?? leadership.knownClaim(), followers: () => [...table.reporters(), ...proxy.clients()], isProxy: member => proxy.current() === member, isLeadingRelays: () => leadership.isLeaseHolder() && table.isRelayed(), isFollowing: table.isFollowing, isLinked, onLeaderLearned: leading => leadership.noteClaimFromPeer(leading), clock, logger, random })
   /** Neighbours and relays look: they are a few, hold links to the leader, and see one end. */
   const hasEnded = async (member: string): Promise<boolean> => {
     const record = peers.members().find(each => each.id === member)
@@ -299,15 +299,15 @@
     peers,
     clock,
     logger,
-    hasCrashed: async address => !await connections.isAlive(address),
+    hasCrashed: async address => !await connections.isAccepting(address),
     retentionMs: SUSPECT_HELD_MS,
     refuseAfterCrashes: CRASHES_TO_REFUSE
   })
   const coldStarts = createColdStarts({
     peers,
-    startOf: service => cfg.findService(service)?.coldStart,
+    coldStartOf: service => cfg.findService(service)?.coldStart,
     coldMs: servers.coldMs,
-    backSinceMs: evacuations.endedAgoMs,
+    evacuationEndedAgoMs: evacuations.endedAgoMs,
     tolerance: settings.coldRateTolerance,
     clock,
     logger
@@ -325,7 +325,7 @@
     coldStarts,
     retryBudget,
     noteDemand,
-    noteUse: table.tellSoon,
+    noteUse: table.reportSoon,
     noteActivity: activity.note,
     isClosingFor: kind => clock.monotonic() - leavingSinceMs > lastRequestMs[kind],
     metrics,
@@ -335,7 +335,7 @@
     random,
     pause: ms => sleep(clock, ms)
   })
-  const door = createFrontDoor({ address: settings.listen.entry, serve, isLeaving: () => self.leaving, clock, logger })
+  const door = createEntryServer({ address: settings.listen.entry, serve, isLeaving: () => self.leaving, clock, logger })
   const metricsServer = createServer(polka().get('/metrics', async (_req, res) => {
     res.writeHead(200, { 'content-type': metrics.registry.contentType })
     res.end(await metrics.registry.metrics())
@@ -346,7 +346,7 @@
     metrics.configVersion.set(cfg.version())
     door.setLimits(cfg.current()!.limits)
   })
-  forgetGoneServers({ servers, health, connections, engines: options.engines })
+  cleanUpDepartedServers({ servers, health, connections, engines: options.engines })
   const isProxy = (): boolean => proxy.clients().length > 0
   const turn = createStoreTurn({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => peers.members().length, clock, logger, random })
   const feeds: StoreFeedsOptions = { store, wire, cfg, evacuations, servers, memberCount: () => peers.members().length, isOwnTurn: turn.isOwn, isProxy, isOrdering: orderer.hasPendingOrders }
