--- a/packages/magnoliabay/src/node/serving/chooseServer.ts
+++ b/packages/magnoliabay/src/node/serving/chooseServer.ts
@@ -1,32 +1,35 @@
 /**
- * Which of several backend servers gets a request. Pattern: many short requests on a few servers of few slots, and
- * streams that share a batch; both slow down with what runs beside them, so the least loaded one is quickest.
+ * Chooses the backend server for a request. The workload is many short requests on a few servers with few slots, and
+ * streams that share a batch. Both slow down with concurrent requests, so the least loaded server is the fastest.
  */
 
 export interface Candidate {
   id: string
-  /** Requests that all instances have there. */
+  /** Requests in flight there, of all instances. */
   load: number
   slots: number
-  /** In the failure domain of this instance. */
+  /** Whether it is in the failure domain of this instance. */
   isNear: boolean
-  /** Failures a second that this instance saw there lately. */
+  /** Recent failures a second that this instance observed there. */
   failureRate: number
-  /** Out of reach, or silent though it has requests. */
+  /** Unreachable, or not responding though it has requests. */
   isSilent: boolean
-  /** It has just started, and bears few requests a second. */
+  /** Recently started, and able to take only a few requests a second. */
   isCold: boolean
 }
 
 /**
- * Bytes between failure domains are paid for, and a hop costs a millisecond or two; a queue costs whole service times.
- * A near server is preferred while it is no busier by this part of its slots.
+ * Traffic between failure domains is billed, and a hop takes a millisecond or two; a queue costs whole service times.
+ * A near server is preferred while its load exceeds that of others by no more than this fraction of its slots.
  */
 const NEAR_BONUS = 0.15
-/** One failure a second weighs as much as a full server. */
+/** One failure a second counts as much as a full server. */
 const FAILURE_WEIGHT = 1
 const SILENT_PENALTY = 10
-/** A cold server is the emptiest of all, and everybody would send to it; it gets what others are too full for, in slots. */
+/**
+ * A cold server has the least load, so all instances would send to it. It gets requests only when the load of others
+ * exceeds its own by this fraction of their slots.
+ */
 const COLD_PENALTY = 0.5
 
 function cost (candidate: Candidate): number {
@@ -37,7 +40,7 @@
     (candidate.isNear ? NEAR_BONUS : 0)
 }
 
-/** The best of the candidates; `tieBreak` (0 to 1) spreads equal ones over instances. */
+/** Returns the candidate of least cost; `tieBreak` (from 0 to below 1) selects one of several with equal cost. */
 export function chooseServer (candidates: readonly Candidate[], tieBreak: number): Candidate | undefined {
   const costs = candidates.map(cost)
   const least = Math.min(...costs)
--- a/packages/magnoliabay/src/node/serving/coldStarts.ts
+++ b/packages/magnoliabay/src/node/serving/coldStarts.ts
@@ -1,9 +1,9 @@
 /**
- * Requests to backend servers that are cold. Failure: a server that has just started is the emptiest of all, every
- * instance sends to it at once, and it crashes above a few requests a second. The bound is on all instances together,
- * so one of them, the server's home, counts for all: each request that is to go to a cold server asks there first. Two
- * homes may count at once as members change, and one that has just begun does not know what the one before it granted:
- * each grants half of the bound. Whoever cannot ask sends nothing to a cold server.
+ * Limits the rate of requests to cold backend servers. A server that has just started has the least load, so every
+ * instance would send to it at once, and it crashes above a few requests a second. The limit applies to all instances
+ * together, so one of them, the server's home instance, counts for all, and each request to a cold server asks it first.
+ * While members change, two home instances may count at once, and a new one does not know what the previous one
+ * granted, so each grants half of the limit. An instance that cannot ask sends nothing to a cold server.
  */
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
@@ -16,14 +16,14 @@
 const admitCall = definePeerCall<{ process: string, most: number }, { isAdmitted: boolean }>('serving.admit-cold')
 
 const WINDOW_MS = 1000
-/** Two homes may count for one server. */
+/** Part of the limit that one home instance grants: two may count for one server at once. */
 const HOME_RATIO = 1 / 2
-/** The home answers within a round trip; a request waits for a cold server no longer than it would take elsewhere. */
+/** The home instance replies within a round trip. Waiting longer would cost more than sending the request elsewhere. */
 const ADMIT_TIMEOUT_MS = 200
-/** What is known of servers that are cold no more is dropped when there are so many. */
+/** Above this number of server processes their records are dropped: those that are no longer cold would accumulate. */
 const MAX_TRACKED_PROCESSES = 1000
 
-/** What the users allow at a cold server in a second, over all instances: part of its rate, and requests beside that. */
+/** Requests a second that are allowed at a cold server, over all instances: `ratio` of its rate plus `slack`. */
 export interface ColdRateTolerance {
   ratio: number
   slack: number
@@ -31,17 +31,17 @@
 
 export interface ColdStarts {
   isCold (server: BackendServer): boolean
-  /** Whether a request may go to a cold server now. */
+  /** Returns whether a request may go to a cold server now. */
   admit (server: BackendServer): Promise<boolean>
 }
 
 export interface ColdStartsOptions {
   peers: Peers
-  /** What the service says of its servers' start. */
+  /** How servers of the service start, by its configuration. */
   coldStartOf: (service: string) => ColdStart | undefined
-  /** How much longer the server says that it is cold, milliseconds. */
+  /** Time for which the server process remains cold by its own report, milliseconds. */
   coldMs: (process: string) => number
-  /** Since the evacuation of its failure domain ended, after which servers come back cold, milliseconds. */
+  /** Time since the evacuation of the failure domain ended, after which its servers are cold again, milliseconds. */
   evacuationEndedAgoMs: (failureDomain: string) => number
   tolerance: ColdRateTolerance
   clock: Clock
@@ -50,7 +50,7 @@
 
 export function createColdStarts (options: ColdStartsOptions): ColdStarts {
   const { peers, clock, logger } = options
-  /** Moments of what this instance granted as home, by server process. */
+  /** Times of the requests that this instance granted as home instance, by server process. */
   const grantTimesByProcess = new Map<string, number[]>()
 
   const tryGrant = (process: string, limit: number): boolean => {
--- a/packages/magnoliabay/src/node/serving/decayingAverage.ts
+++ b/packages/magnoliabay/src/node/serving/decayingAverage.ts
@@ -1,7 +1,7 @@
-/** A quantity averaged over the last while, from nothing on: what it was before fades away exponentially. */
+/** An exponentially weighted average of a quantity over time, starting at 0. */
 
 export interface DecayingAverage {
-  /** The quantity as it is now; returns its average. */
+  /** Records the current value; returns the average. */
   update (value: number, nowMs: number): number
 }
 
--- a/packages/magnoliabay/src/node/serving/departedServers.ts
+++ b/packages/magnoliabay/src/node/serving/departedServers.ts
@@ -1,4 +1,4 @@
-/** Drops what an instance keeps for backend servers that are gone: what it saw of them, and idle connections. */
+/** Drops the health data and idle connections of backend servers that have left the list. */
 import type { EngineCalls } from './engineCalls'
 import type { Connections } from './exchange'
 import type { ServerHealth } from './serverHealth'
@@ -13,7 +13,7 @@
 }
 
 export function cleanUpDepartedServers ({ servers, health, connections, engines }: DepartedServersOptions): void {
-  /** Addresses by process. */
+  /** Addresses by server process. */
   let addressByProcess = new Map<string, string>()
   servers.onChanged(() => {
     const current = new Map(servers.all().map(server => [serverProcessId(server), server.address]))
--- a/packages/magnoliabay/src/node/serving/dissemination.ts
+++ b/packages/magnoliabay/src/node/serving/dissemination.ts
@@ -1,7 +1,7 @@
 /**
- * Brings configuration, members and server list to every instance. The leader watches the store for all and tells what
- * changed; whoever hears it tells those who report to it in turn. An instance that hears neither the leader nor the
- * store asks a peer.
+ * Distributes configuration, members and server list to every instance. The leader watches the store for all instances
+ * and sends changes to those that report to it; each of them forwards the changes to its own reporters. An instance that
+ * reaches neither the leader nor the store asks a peer.
  */
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
@@ -15,11 +15,12 @@
 import type { EvacuationState, Evacuations } from './evacuations'
 import type { ServerList } from './serverList'
 
-/** What an instance knows of the store, for one that does not reach it. */
+/** State of an instance, sent to a peer that does not reach the store. */
 export interface PeerStatus {
   configVersion: number
+  /** Time since the store last answered, milliseconds. */
   storeAgeMs: number
-  /** The claim by which an instance leads, as far as it knows. */
+  /** The claim of the leader, if known. */
   leading: LeadershipTerm | undefined
   leavingServers: readonly string[]
   isListKnown: boolean
@@ -31,18 +32,18 @@
 const membersCall = definePeerCall<Record<string, never>, { members: readonly MemberRecord[] }>('serving.members')
 const statusCall = definePeerCall<Record<string, never>, PeerStatus>('serving.news')
 
-/** Changes of a list are gathered for this long, milliseconds, for each who is told and at least. */
+/** Changes of a list are batched for this long for each follower, and at least for the minimum below, milliseconds. */
 const BATCH_DELAY_PER_FOLLOWER_MS = 0.5
 const MIN_BATCH_DELAY_MS = 4
-/** The same for a leader whom relays stand below: each change goes to everybody, and wakes hundreds, milliseconds. */
+/** The same for a leader with relays, where each change wakes hundreds of instances, milliseconds. */
 const RELAYED_BATCH_DELAY_MS = 80
-/** A configuration that is told about comes with a notice of its own within this time, unless that was lost. */
+/** A configuration that a summary names is fetched if its notice has not arrived within this time, milliseconds. */
 const CONFIG_NOTICE_TIMEOUT_MS = 100
-/** A whole list is asked for at most this often. */
+/** Shortest time between two fetches of a complete list, milliseconds. */
 const MIN_LIST_FETCH_INTERVAL_MS = 700
-/** An instance that hears nothing of the store asks a peer this often. */
+/** Interval at which an instance without contact to the leader and the store asks a peer, milliseconds. */
 const STATUS_POLL_INTERVAL_MS = 250
-/** Own contact with the store that is older than this counts as lost: its watch would have brought something. */
+/** The store counts as lost after this long without an answer: a watch is answered sooner, milliseconds. */
 const STORE_CONTACT_TIMEOUT_MS = 5500
 const CALL_TIMEOUT_MS = 700
 
@@ -54,19 +55,19 @@
   members: MemberList
   /** Milliseconds since the store last answered here. */
   storeAgeMs: () => number
-  /** The claim by which an instance leads, as far as known here. */
+  /** The claim of the leader, if known. */
   leading: () => LeadershipTerm | undefined
-  /** Those who report here, and follow what this instance knows. */
+  /** Members that report to this instance or use it as store proxy: they receive its changes. */
   followers: () => readonly string[]
-  /** This instance leads, and relays pass on what it tells. */
+  /** Whether this instance leads and relays forward its messages. */
   isLeadingRelays: () => boolean
-  /** Another tells this instance what changes. */
+  /** Whether another instance sends the changes of the store to this one. */
   isFollowing: () => boolean
-  /** Whether a link to the member stands. */
+  /** Whether the link to the member is up. */
   isLinked: (member: string) => boolean
   /** Whether the member watches the store for this instance. */
   isProxy: (member: string) => boolean
-  /** A peer tells who leads. */
+  /** Called when a peer names the leader. */
   onLeaderLearned: (leading: LeadershipTerm) => void
   clock: Clock
   logger: Logger
@@ -75,11 +76,14 @@
 
 export interface Dissemination {
   start (signal: AbortSignal): void
-  /** To be called with each summary that is news, and who told it. */
+  /** Applies a summary that is newer than those before; `member` sent or forwarded it. */
   applySummary (member: string, summary: FleetSummary): void
-  /** Another watches the store for this instance from now on: takes over what it knows. */
+  /** Fetches servers and members from a member that now watches the store for this instance. */
   syncFromProxy (member: string): void
-  /** Tells now what has changed: a summary that shows it would else come first, and the whole lists be fetched. */
+  /**
+   * Sends pending changes at once. To be called before a summary with the new digests is sent: if that came first,
+   * receivers would fetch the complete lists.
+   */
   sendChanges (): void
 }
 
@@ -89,7 +93,6 @@
   let behindSinceMs: number | undefined
   let isSendScheduled = false
   let sentConfigVersion = 0
-  /** Revision. */
   let sentEvacuationRevision = 0
   let packedCache = { version: 0, packed: undefined as Uint8Array | undefined }
 
@@ -111,7 +114,7 @@
   peers.listen(serversNotice, notice => servers.applyChanges(notice))
   peers.listen(evacuationNotice, state => options.evacuations.applyFromPeer(state))
   peers.listen(configNotice, ({ packed }, from) => applyPackedConfig(from.id, packed))
-  // One who reads the members itself is not to go back to what another knew before.
+  // An instance that reads the members from the store must not revert to the older list of a peer.
   peers.listen(membersNotice, (changes, from) => { if (options.isFollowing() || options.isProxy(from.id)) members.applyChanges(changes) })
 
   const fetchConfig = async (member: string): Promise<void> => {
@@ -122,7 +125,7 @@
     if (reply.err) return logger.info('config-not-fetched', { peer: member, reason: reply.val.kind })
     if (reply.val.packed !== undefined) applyPackedConfig(member, reply.val.packed)
   }
-  /** Fetches a whole list, never twice within a short time. */
+  /** Creates a function that fetches a complete list, at most once an interval. */
   const createListFetch = <Res>(call: PeerCall<Record<string, never>, Res>, apply: (res: Res) => void): (member: string) => Promise<void> => {
     let lastFetchMs = -Infinity
     return async member => {
@@ -136,7 +139,7 @@
   const fetchServers = createListFetch(serversCall, reply => { if (reply.servers.length > 0) servers.replaceAll(reply.servers) })
   const fetchMembers = createListFetch(membersCall, reply => { if (reply.members.length > 0) members.replaceAll(reply.members) })
 
-  /** All changes of a moment go in one notice for each list. */
+  /** Sends all batched changes in one notice for each list. */
   const sendChanges = (): void => {
     isSendScheduled = false
     const followers = options.followers()
@@ -182,7 +185,7 @@
     options.evacuations.applyFromPeer(status.evacuation)
     const isPeerBetter = status.storeAgeMs < storeAgeMs()
     if (status.leading !== undefined) options.onLeaderLearned(status.leading)
-    // Without members it could report to nobody, and be told nothing.
+    // Without members this instance could report to nobody, and would receive no summaries.
     if (members.records().length === 0) await fetchMembers(member)
     if (status.isListKnown && (isPeerBetter || !servers.isKnown())) await fetchServers(member)
   }
--- a/packages/magnoliabay/src/node/serving/engineCalls.ts
+++ b/packages/magnoliabay/src/node/serving/engineCalls.ts
@@ -1,18 +1,18 @@
-/** What can be asked of an engine and ordered from it. */
+/** Interface to an engine: reports and orders. */
 import type { Result } from '../result'
 import type { BackendServer, LoadedModel } from './types'
 
 export interface EngineReport {
-  /** Start of the engine's process, where the report tells it. */
+  /** Start of the engine's process, if the report contains it. */
   bornMs: number | undefined
-  /** An order for a model is being carried out. */
+  /** Whether an order for a model is being carried out. */
   isOrderPending: boolean
   /** Orders accepted since the engine's process started. */
   acceptedOrders: number
   waiting: number
   running: number
   models: readonly LoadedModel[]
-  /** `model/adapter` of adapters being loaded; they take places already. */
+  /** `model/adapter` of adapters that are being loaded; they already count against the capacity. */
   loadingAdapters: readonly string[]
   copies: { memory: readonly string[], disk: readonly string[] }
 }
@@ -25,19 +25,19 @@
   expectedOrders: number
   /** Instance that gives the order. */
   holder: string
-  /** Grows with each change of the instance that gives orders. */
+  /** Increases with each change of the instance that gives orders. */
   fence: number
 }
 
 /**
- * `accepted`: being carried out. `holds-already`: nothing to do. `conflict`: another order is under way, or the count
- * of orders has moved. `unanswered`: may have been accepted, or may still be carried out later.
+ * `accepted`: being carried out. `holds-already`: nothing to do. `conflict`: another order is being carried out, or the
+ * number of accepted orders has changed. `unanswered`: the order may have been accepted, or may be carried out later.
  */
 export type OrderOutcome = 'accepted' | 'holds-already' | 'conflict' | 'fenced-off' | 'refused' | 'other-server' | 'unanswered'
 
 export interface EngineCalls {
   fetchReport (server: BackendServer): Promise<Result<EngineReport, string>>
   sendOrder (server: BackendServer, engineOrder: EngineOrder): Promise<OrderOutcome>
-  /** Closes connections to an address that is no longer in use. */
+  /** Closes the connections to an address that is no longer in use. */
   closeConnections (address: string): void
 }
--- a/packages/magnoliabay/src/node/serving/entryServer.ts
+++ b/packages/magnoliabay/src/node/serving/entryServer.ts
@@ -1,4 +1,4 @@
-/** Where callers connect: reads requests within the limits in force and hands them on. */
+/** HTTP server for callers: reads requests within the configured limits and passes them to `serve`. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -12,11 +12,11 @@
 import type { Inbound } from './requestRun'
 import type { CallerLimits } from './types'
 
-/** Before a configuration is known, callers are held to nothing but these. */
+/** Limits that apply until a configuration is known. */
 const DEFAULT_LIMITS: CallerLimits = { maxHeaderBytes: 65_536, maxBodyBytes: 4_194_304, headerTimeoutMs: 10_000, idleTimeoutMs: 15_000 }
-/** Connections are kept longer than callers reuse them, so that no request crosses the close of its connection. */
+/** Idle connections are kept this much longer than callers reuse them, so that none is closed as a request arrives. */
 const KEEP_ALIVE_MARGIN_MS = 2000
-/** A body may take this long, milliseconds. */
+/** Longest time for receiving a body, milliseconds. */
 const BODY_TIMEOUT_MS = 30_000
 
 export interface EntryServerOptions {
@@ -30,9 +30,9 @@
 export interface EntryServer {
   start (): Promise<void>
   setLimits (limits: CallerLimits): void
-  /** `ip:port` on which it listens. */
+  /** `ip:port` on which the server listens. */
   address (): string
-  /** Takes no more connections; resolves when the last request has ended, or after `drainMs`. */
+  /** Accepts no more connections; resolves when the last request has ended, or cuts the rest after `drainMs`. */
   close (drainMs: number): Promise<void>
 }
 
@@ -47,7 +47,7 @@
     entryReq.requestId = createId('req')
     openRequests += 1
     res.once('close', () => { openRequests -= 1 })
-    // A caller that keeps its connection would send its next request to a process that is about to end.
+    // Otherwise the caller would reuse the connection and send its next request to a process that is about to end.
     if (options.isLeaving()) res.setHeader('connection', 'close')
     readBody(entryReq, res, () => {
       serve({ req, res, body: entryReq.rawBody, arrivedMs }).catch((err: unknown) => {
--- a/packages/magnoliabay/src/node/serving/evacuations.ts
+++ b/packages/magnoliabay/src/node/serving/evacuations.ts
@@ -1,39 +1,41 @@
 /**
- * Failure domains whose backend servers are to get nothing new until the operator says otherwise. What runs there
- * finishes. What is known is ordered by the store's revision: an instance that hears of it from several peers, or late,
- * never goes back to what was before.
+ * Tracks evacuated failure domains: their backend servers get no new requests until the operator ends the evacuation,
+ * and requests that run there finish. States are ordered by the revision of the store, so an instance that receives them
+ * from several peers, or late, never reverts to an older one.
  */
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
 
 export interface EvacuationState {
   domains: readonly string[]
-  /** Of the store, when this was so; 0 while nothing is known. */
+  /** Revision of the store at which this state was read; 0 while none is known. */
   revision: number
 }
 
 export interface Evacuations {
   isEvacuated (failureDomain: string): boolean
-  /** Milliseconds since the evacuation of a failure domain ended; Infinity where none has. */
+  /** Milliseconds since the evacuation of a failure domain ended; Infinity if none has ended. */
   endedAgoMs (failureDomain: string): number
   state (): EvacuationState
-  /** By the store: all that there are. */
+  /** Applies the complete list of evacuated failure domains as read from the store. */
   snapshot (domains: readonly string[], revision: number): void
+  /** Applies the beginning of an evacuation, reported by the store. */
   begin (failureDomain: string, revision: number): void
+  /** Applies the end of an evacuation, reported by the store. */
   end (failureDomain: string, revision: number): void
-  /** A peer tells what it knows; an instance of an older version tells nothing. */
+  /** Applies the state that a peer has sent; undefined from a peer of an older version. */
   applyFromPeer (state: EvacuationState | undefined): void
   onChanged (listener: () => void): void
 }
 
 export interface EvacuationsOptions {
-  /** Monotonic milliseconds since when the store has been answering without a break. */
+  /** Time since which the store has answered without interruption, monotonic milliseconds. */
   storeReachableSinceMs: () => number
   clock: Clock
   logger: Logger
 }
 
-/** What a store that was away, or went back to an older copy, lacks is written again within this time, milliseconds. */
+/** Time within which records that an outage or a rollback of the store removed are written again, milliseconds. */
 const REWRITE_TIMEOUT_MS = 2500
 
 export function createEvacuations ({ storeReachableSinceMs, clock, logger }: EvacuationsOptions): Evacuations {
--- a/packages/magnoliabay/src/node/serving/eventStream.ts
+++ b/packages/magnoliabay/src/node/serving/eventStream.ts
@@ -1,30 +1,33 @@
 /**
- * Follows an event stream as it is relayed: passes whole events only, and notices those that are not the next ones.
- * A server may break off in the middle of an event, or append bytes of another answer; half an event, once passed on,
- * could not be taken back when the stream goes on at another server.
+ * Checks an event stream while it is relayed: forwards complete events only, and detects events out of order. A server
+ * may break off within an event, or append bytes of another response. Part of an event that was already forwarded could
+ * not be withdrawn when another server resumes the stream.
  */
 
-/** An event longer than this is none. */
+/** A longer event is treated as malformed, bytes. */
 const MAX_EVENT_BYTES = 1_048_576
 const EVENT_END = Buffer.from('\n\n')
 const ID_LINE = /^id: ?(\d+)$/m
 
-/** `doubled`: an event that came before. `gap`: one is missing after a resumption. `malformed`: no event. */
+/**
+ * `doubled`: the event was forwarded before. `gap`: an event is missing after a resumption. `malformed`: the bytes are
+ * not an event.
+ */
 export type StreamProblem = 'doubled' | 'gap' | 'malformed'
 
 export interface ParsedChunk {
-  /** Whole events to pass on. */
+  /** Complete events to forward. */
   events: Buffer
   problem?: StreamProblem
 }
 
 export interface EventStream {
   push (chunk: Buffer): ParsedChunk
-  /** Id of the last event passed on, or undefined before the first. */
+  /** Id of the last forwarded event, or undefined before the first. */
   lastId (): number | undefined
-  /** Whether a part of an event is held: a stream that ends so was cut. */
+  /** Whether part of an event is buffered. A stream that ends in this state was cut. */
   isInEvent (): boolean
-  /** Another server goes on after the last event; what is held of the next is forgotten. */
+  /** Prepares for another server that continues after the last event; discards the buffered part of the next one. */
   resume (): void
 }
 
@@ -36,7 +39,7 @@
   const checkEvent = (event: Buffer): StreamProblem | undefined => {
     const text = event.toString('latin1')
     const idText = ID_LINE.exec(text)?.[1]
-    // A comment carries no id and says nothing of the order.
+    // A comment has no id and does not affect the order.
     if (idText === undefined) return text.startsWith(':') ? undefined : 'malformed'
     const eventId = Number(idText)
     if (previousId !== undefined && eventId <= previousId) return 'doubled'
--- a/packages/magnoliabay/src/node/serving/fleetMessages.ts
+++ b/packages/magnoliabay/src/node/serving/fleetMessages.ts
@@ -1,4 +1,4 @@
-/** What instances tell the leader, and what it tells them back; relays in between add up the one and pass on the other. */
+/** Messages between instances and the leader: relays aggregate reports and forward summaries and notices. */
 import { definePeerNotice } from '../members'
 import type { MemberChanges } from '../members'
 import type { EvacuationState } from './evacuations'
@@ -6,99 +6,100 @@
 import type { LeaderClaim } from './placement/leaderRecords'
 import type { BackendServer } from './types'
 
-/** Requests under way at one server for one model. */
+/** Requests in flight at one server for one model. */
 export interface InFlight {
   server: string
   model: string
   count: number
 }
 
-/** Requests that wait for a model that no server has ready, or come often. */
+/** Demand for a model: the request rate, and requests that wait because no server has the model ready. */
 export interface ModelDemand {
   model: string
-  /** Requests a second, averaged over the last seconds. */
+  /** Requests a second, averaged over the last few seconds. */
   rate: number
   waiting: number
 }
 
-/** An instance that reports by way of another. */
+/** State of an instance that reports through a relay. */
 export interface MemberState {
   id: string
   isReady: boolean
 }
 
-/** Instances that hear nothing from a server though they have requests there. */
+/** A server that does not respond to instances with requests there. */
 export interface SilentServer {
   server: string
+  /** Number of these instances. */
   tellers: number
 }
 
-/** One instance to the leader or to its relay; a relay's is the sum of its own and of those below it. */
+/** Sent by an instance to the leader or to its relay; a relay's report contains the sums over itself and its downstream. */
 export interface InstanceReport {
   configVersion: number
-  /** Milliseconds since the instance last heard the store. */
+  /** Milliseconds since the store last answered the instance. */
   storeAgeMs: number
   inFlight: readonly InFlight[]
   demand: readonly ModelDemand[]
   leavingServers: readonly string[]
   silentServers: readonly SilentServer[]
-  /** Of teams' allowances, within the window. */
+  /** Spending of teams' allowances within the window. */
   spent: readonly TeamSpending[]
-  /** Of the reporting instance itself. */
+  /** Whether the reporting instance itself is ready. */
   isReady: boolean
-  /** Those who report by way of it. */
+  /** Instances that report through it. */
   below: readonly MemberState[]
-  /** Told ahead of time: whoever hears it passes it on soon. */
+  /** Sent before its regular time; a relay forwards it soon. */
   isUrgent: boolean
 }
 
-/** Requests that all instances have at one server. */
+/** Requests in flight at one server, of all instances. */
 export interface ServerLoad {
   server: string
   count: number
 }
 
-/** By what an instance leads, and the revision of the store at which it was claimed: a later claim has a higher one. */
+/** The claim of a leader, and the revision of the store at which it was made: a later claim has a higher one. */
 export interface LeadershipTerm {
   claim: LeaderClaim
   revision: number
 }
 
-/** The leader to those who report to it, and by them to those below. */
+/** Sent by the leader to those that report to it, and forwarded by relays to their downstream. */
 export interface FleetSummary {
   leading: LeadershipTerm
-  /** Counts the summaries of one claim. */
+  /** Number of the summary, counted from the start of the claim. */
   count: number
   configVersion: number
-  /** Milliseconds since the leader last heard the store. */
+  /** Milliseconds since the store last answered the leader. */
   storeAgeMs: number
-  /** How long the store has answered the leader without a break, milliseconds. */
+  /** How long the store has answered the leader without interruption, milliseconds. */
   storeSteadyMs: number
   loads: readonly ServerLoad[]
-  /** Members to whom no caller should be sent: not ready, or silent. */
+  /** Members to which no caller should be directed: not ready, or without recent reports. */
   unavailable: readonly string[]
   leavingServers: readonly string[]
-  /** Of teams' allowances, over all instances, within the window. */
+  /** Spending of teams' allowances by all instances within the window. */
   spent: readonly TeamSpending[]
   evacuation: EvacuationState
-  /** Stands for the list of servers as the leader knows it, what they hold included. */
+  /** Digest of the list of servers as the leader knows it, including their models. */
   listDigest: string
-  /** Stands for the members as the leader knows them. */
+  /** Digest of the members as the leader knows them. */
   membersDigest: string
 }
 
-/** A server as instances need it to choose one; where its copies of weights lie concerns only the leader. */
+/** The data of a server that instances need for choosing one; only the leader uses the places of weight copies. */
 export type ListedServer = Omit<BackendServer, 'copies'>
 
-/** What changed in the leader's list since the last such notice. */
+/** Changes of the leader's list of servers since the last notice. */
 export interface ServersNotice {
   changed: readonly ListedServer[]
-  /** Known to the receiver, and holding something else now. */
+  /** Servers that the receiver knows and whose models have changed. */
   holding: ReadonlyArray<Pick<BackendServer, 'id' | 'bornMs' | 'models'>>
   gone: readonly string[]
 }
 
-/** The configuration in force, as it was read, packed. */
+/** The active configuration: its text as read from the store, compressed. */
 export interface ConfigNotice {
   packed: Uint8Array
 }
--- a/packages/magnoliabay/src/node/serving/fleetTotals.ts
+++ b/packages/magnoliabay/src/node/serving/fleetTotals.ts
@@ -1,7 +1,7 @@
 /**
- * Sums over what instances reported, kept up to date with each report: with a hundred instances, summing anew for
- * each question took the leader longer than the time between two plans. Pattern: hundreds of short reports a second,
- * thousands of questions a second.
+ * Maintains sums over the reports of instances, updated with each report. With a hundred instances, computing the sums
+ * for each query took the leader longer than the time between two plans. The workload is hundreds of short reports and
+ * thousands of queries a second.
  */
 import { addCount } from '../utils'
 import type { InFlight, InstanceReport, MemberState, ModelDemand, ServerLoad, SilentServer } from './fleetMessages'
@@ -12,28 +12,29 @@
 }
 
 export interface FleetTotals {
-  /** Replaces what the member reported before. */
+  /** Replaces the report of the member. */
   put (member: string, report: InstanceReport, nowMs: number): void
-  /** Forgets what the member reported. */
+  /** Removes the report of the member. */
   drop (member: string): void
-  /** Drops what is older than this; returns whose reports these were. */
+  /** Removes older reports; returns the members that sent them. */
   expire (maxAgeMs: number, nowMs: number): readonly string[]
+  /** Members whose reports are included. */
   reporters (): readonly string[]
   report (member: string): InstanceReport | undefined
-  /** Of a member that reports, here or by way of another. */
+  /** State of a member that reports directly or through a relay; `via` is the member whose report contains it. */
   stateOf (member: string): (MemberState & { via: string }) | undefined
-  /** Everybody who reports, here or by way of another. */
+  /** States of all members that report directly or through a relay. */
   states (): readonly MemberState[]
-  /** Requests at a server, of all models. */
+  /** Requests in flight at a server, for all models. */
   inFlightAtServer (server: string): number
-  /** Requests for a model at a server. */
+  /** Requests in flight at a server for a model. */
   inFlight (server: string, model: string): number
-  /** Requests for a model at all servers. */
+  /** Requests in flight for a model at all servers. */
   inFlightOfModel (model: string): number
   demand (model: string): { rate: number, waiting: number }
-  /** Models that are asked for. */
+  /** Models with a request rate or waiting requests. */
   modelsInDemand (): readonly string[]
-  /** Instances that hear nothing from a server. */
+  /** Number of instances to which a server does not respond. */
   silenceReportCount (server: string): number
   loads (): readonly ServerLoad[]
   inFlightByServer (): readonly InFlight[]
@@ -42,7 +43,7 @@
   leavingServers (): readonly string[]
 }
 
-/** Sums of rates that fell below this are rounding errors of what was added and taken away again. */
+/** Smaller sums of rates are rounding errors of rates that were added and subtracted again. */
 const MIN_RATE = 1e-6
 
 interface Demand {
@@ -83,7 +84,7 @@
     if (stored === undefined) return
     apply(stored.report, -1)
     reports.delete(member)
-    // One that reports by way of another meanwhile is there still.
+    // A member that now reports through another relay stays.
     const reported = [member, ...stored.report.below.map(({ id }) => id)]
     reported.filter(id => states.get(id)?.via === member).forEach(id => states.delete(id))
   }
--- a/packages/magnoliabay/src/node/serving/fleetView.ts
+++ b/packages/magnoliabay/src/node/serving/fleetView.ts
@@ -1,7 +1,7 @@
 /**
- * What an instance knows of the others. Each reports to the leader a few times a second; the leader adds the reports
- * up and tells everybody the sums. In a large fleet relays in between (`upstream.ts`) add up what those below report,
- * and pass on what the leader tells as it comes.
+ * Keeps the state that an instance knows of the others. Each instance reports to the leader a few times a second; the
+ * leader aggregates the reports and sends summaries to all instances. In a large fleet relays (`upstream.ts`) aggregate
+ * the reports of their downstream and forward the summaries at once.
  */
 import { delayToNextWallClockPeriod, delayToNextPeriod } from '../clock'
 import type { Clock } from '../clock'
@@ -12,93 +12,95 @@
 import { DOUBT_MS } from './serverList'
 import { createUpstream } from './upstream'
 
-/** Time between two reports, for each member, so that the leader's work stays the same in a larger fleet, milliseconds. */
+/** Time between two reports for each member, which keeps the leader's work constant as the fleet grows, milliseconds. */
 const REPORT_INTERVAL_PER_MEMBER_MS = 6
 const MIN_REPORT_INTERVAL_MS = 125
-/** The same where relays add up reports, milliseconds. */
+/** Time between two reports in a fleet with relays, milliseconds. */
 const RELAYED_REPORT_INTERVAL_MS = 500
 /**
- * Where relays add up reports all report at one moment, so that what several send wakes an instance once; a relay does so
- * by so much later, when those below it have, and the leader tells the sums when the relays have, milliseconds.
+ * In a fleet with relays all instances report at the same moment, so that messages from several senders wake an instance
+ * once. A relay reports this much later, after its downstream, and the leader sends the summary after the relays,
+ * milliseconds.
  */
 const RELAY_REPORT_OFFSET_MS = 20
 const SUMMARY_OFFSET_MS = 40
-/** Changes that cannot wait are gathered for this long, milliseconds, for each member and at least. */
+/** Urgent changes are batched for this long for each member, and at least for the minimum below, milliseconds. */
 const URGENT_DELAY_PER_MEMBER_MS = 1
 const MIN_URGENT_DELAY_MS = 15
-/** The same for a relay that is told something urgent, milliseconds. */
+/** The same for a relay that receives an urgent report, milliseconds. */
 const RELAY_URGENT_DELAY_MS = 100
-/** What was told is dropped after so many periods without a word, and not before so many milliseconds. */
+/** Reports and summaries are dropped after this many intervals without a new one, and not before this many milliseconds. */
 const STALE_INTERVALS = 4
 const MIN_STALE_MS = 2500
-/** Sums older than this many periods no longer stand for the store's list of servers, and not before so long. */
+/** A summary no longer replaces reading the store after this many intervals, and not before this many milliseconds. */
 const FRESH_INTERVALS = 3
 const MIN_FRESH_MS = 750
-/** A leader that has not heard the store for longer than this cannot tell what changed in it. */
+/** A leader without contact to the store for longer than this cannot report its changes. */
 const MAX_LEADER_STORE_AGE_MS = 1500
 
 export interface FleetView {
-  /** Requests that other instances have at a server. */
+  /** Requests in flight at a server, of other instances. */
   inFlightElsewhere (server: string): number
-  /** Requests under way for a model at a server, this instance's included; known to the leader. */
+  /** Requests in flight for a model at a server, including this instance's; known to the leader. */
   inFlight (server: string, model: string): number
-  /** Requests under way for a model at all servers; known to the leader. */
+  /** Requests in flight for a model at all servers; known to the leader. */
   inFlightOfModel (model: string): number
-  /** Known to the leader. */
+  /** Request rate and waiting requests of a model; known to the leader. */
   demand (model: string): { rate: number, waiting: number }
-  /** Models that are asked for; known to the leader. */
+  /** Models with a request rate or waiting requests; known to the leader. */
   modelsInDemand (): readonly string[]
-  /** Whether callers may be sent to a member. */
+  /** Whether callers may be directed to a member. */
   isAvailable (member: string): boolean
-  /** Instances that hear nothing from a server; known to the leader. */
+  /** Number of instances to which a server does not respond; known to the leader. */
   silenceReportCount (server: string): number
 }
 
 export interface FleetViewOptions {
   peers: Peers
   clock: Clock
-  /** Whether a link to the member stands. */
+  /** Whether the link to the member is up. */
   isLinked: (member: string) => boolean
-  /** The instance that leads, as far as known here. */
+  /** The leader, if known. */
   leader: () => string | undefined
+  /** The report of this instance alone. */
   own: () => InstanceReport
-  /** What this instance and those below it have spent. */
+  /** Spending of this instance and its downstream. */
   spentWithDownstream: () => InstanceReport['spent']
-  /** By what this instance leads. */
+  /** The claim by which this instance leads. */
   leading: () => LeadershipTerm | undefined
-  /** The latest claim that is known here, by its revision. */
+  /** Revision of the latest known claim. */
   latestClaim: () => number
-  /** What the leader tells beside the sums that this module keeps. */
+  /** Fields of the summary that this module does not maintain. */
   summary: () => Pick<FleetSummary, 'configVersion' | 'storeAgeMs' | 'storeSteadyMs' | 'spent' | 'evacuation' | 'listDigest' | 'membersDigest'>
-  /** What has changed is to be told before a summary that shows it. */
+  /** Called before a summary is sent, to send the changes that the summary reflects. */
   beforeSummary: () => void
-  /** Called with each report that comes in from another instance. */
+  /** Called with each report of another instance. */
   onReport: (member: MemberRecord, report: InstanceReport) => void
-  /** Called with each summary that is newer than those before; `member` is who told it or passed it on. */
+  /** Called with each summary that is newer than those before; `member` sent or forwarded it. */
   onSummary: (member: MemberRecord, summary: FleetSummary) => void
 }
 
 export interface FleetReporter {
-  /** Begins telling. */
+  /** Starts sending reports and summaries. */
   start (signal: AbortSignal): void
-  /** Something changed that others decide by: tells it ahead of time. */
+  /** Sends a report before its regular time, after a change that affects decisions of others. */
   reportSoon (): void
-  /** Members whose reports come here. */
+  /** Members that report to this instance. */
   reporters (): readonly string[]
-  /** The linked peer that heard the store last, by its report; known to the leader. */
+  /** The linked peer with the latest contact to the store, by its report; known to the leader. */
   peerWithLatestStoreContact (): string | undefined
-  /** Peers that are likely in touch with the store, the likeliest first. */
+  /** Peers that probably reach the store, the likeliest first. */
   peersWithStoreAccess (): readonly string[]
-  /** Relays stand between the leader and others. */
+  /** Whether the fleet uses relays. */
   isRelayed (): boolean
-  /** This instance is one of them. */
+  /** Whether this instance is a relay. */
   isRelay (): boolean
-  /** Another instance, in touch with the store, tells what changes there. */
+  /** Whether another instance with contact to the store sends its changes to this one. */
   isFollowing (): boolean
 }
 
 interface ReceivedSummary {
-  /** Who told it or passed it on. */
+  /** The member that sent or forwarded it. */
   sender: string
   summary: FleetSummary
   loads: ReadonlyMap<string, number>
@@ -110,7 +112,7 @@
   const { peers, clock, own, leader } = options
   const self = peers.self.id
   const totals = createFleetTotals()
-  /** What this instance told last, by server: part of the sums. */
+  /** Requests in flight by server in the last report of this instance, which the sums include. */
   let ownReportedLoads = new Map<string, number>()
   let latestSummary: ReceivedSummary | undefined
   let leadingSinceMs = Infinity
@@ -136,12 +138,12 @@
     summaryCount += 1
     return { leading, count: summaryCount, ...options.summary(), loads: totals.loads(), unavailable: unavailable(), leavingServers: totals.leavingServers() }
   }
-  /** What is passed on later than it came is older by so much. */
+  /** Adds the time since a summary arrived to the ages in it. */
   const withCurrentAge = ({ summary, atMs }: ReceivedSummary): FleetSummary => {
     const ageMs = clock.monotonic() - atMs
     return { ...summary, storeAgeMs: summary.storeAgeMs + ageMs, storeSteadyMs: summary.storeSteadyMs + ageMs }
   }
-  /** One that has just begun to report here is told at once what it would else learn with the next summary. */
+  /** Sends a summary at once to a member that has started to report here, instead of at the next regular time. */
   const sendLatestSummary = (member: string): void => {
     const leading = isLeading() ? options.leading() : undefined
     const current = currentSummary()
@@ -149,7 +151,7 @@
     else if (current !== undefined) peers.notifyLinked([member], summaryNotice, withCurrentAge(current))
   }
   peers.listen(reportNotice, (report, from) => {
-    // Two that report to each other, as their lists of members differ, would add up the same again and again.
+    // Instances whose lists of members differ may report to each other, and would add the same numbers repeatedly.
     if (report.below.some(({ id }) => id === self)) return
     const isNew = totals.report(from.id) === undefined
     totals.put(from.id, report, clock.monotonic())
@@ -157,7 +159,7 @@
     if (isNew) sendLatestSummary(from.id)
     if (report.isUrgent && !isLeading()) scheduleReport(RELAY_URGENT_DELAY_MS)
   })
-  /** A former leader that goes on, or a relay that stood still, tells what is out of date. */
+  /** Returns false for summaries of a former leader, or of a relay that was paused: they are out of date. */
   const isNewer = ({ leading, count }: FleetSummary): boolean => {
     if (leading.claim.holder === self || leading.revision < options.latestClaim()) return false
     const known = latestSummary?.summary
@@ -175,18 +177,18 @@
       atMs: clock.monotonic()
     }
     options.onSummary(from, summary)
-    const below = reporters()
-    if (below.length === 0) return
+    const downstream = reporters()
+    if (downstream.length === 0) return
     options.beforeSummary()
-    peers.notifyLinked(below, summaryNotice, summary)
+    peers.notifyLinked(downstream, summaryNotice, summary)
   })
 
-  /** A link that has ended tells of those who report here sooner than their silence. */
+  /** For a member that reports here directly, the end of its link is noticed before its reports are missed. */
   const isReadyAndLinked = ({ id, isReady, via }: MemberState & { via: string }): boolean => isReady && (via !== id || options.isLinked(id))
   const isUnavailable = (member: string): boolean => {
     const state = totals.stateOf(member)
     if (state !== undefined) return !isReadyAndLinked(state)
-    // One that has just begun to lead has not heard everybody yet.
+    // A new leader has not received all reports yet.
     return clock.monotonic() - leadingSinceMs > staleMs()
   }
   const unavailable = (): string[] => peers.members().map(member => member.id).filter(member => member !== self && isUnavailable(member))
@@ -194,7 +196,7 @@
     ownReportedLoads = new Map()
     report.inFlight.forEach(({ server, count }) => ownReportedLoads.set(server, (ownReportedLoads.get(server) ?? 0) + count))
   }
-  /** Adds up what those below reported. */
+  /** Adds the reports of the downstream to that of this instance. */
   const withDownstream = (current: InstanceReport): InstanceReport => {
     totals.drop(self)
     totals.expire(staleMs(), clock.monotonic())
@@ -258,10 +260,10 @@
     isFollowing: () => {
       if (isLeading() || latestSummary === undefined) return false
       const ageMs = clock.monotonic() - latestSummary.atMs
-      // A leader that has the store back holds removals for a while, since they may be lapses. For one who heard the
-      // store all the time that would be too long: it goes by its own watch.
+      // A leader that has just regained the store delays removals, since they may be lapsed entries. An instance that kept
+      // contact to the store would get them too late, and uses its own watch.
       if (latestSummary.summary.storeSteadyMs + ageMs < DOUBT_MS) return false
-      // Relays are the first to know that the leader has ended, and those below wait for the next one through them.
+      // Relays are the first to notice that the leader has ended. Their downstream waits for summaries of the next leader.
       if (upstream.isRelayed() && isSentByLeader() && !options.isLinked(latestSummary.sender)) return false
       return ageMs < Math.max(MIN_FRESH_MS, FRESH_INTERVALS * reportIntervalMs()) && latestSummary.summary.storeAgeMs + ageMs < MAX_LEADER_STORE_AGE_MS
     },
