--- a/packages/magnoliabay/src/node/serving/__tests__/fixtures.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/fixtures.ts
@@ -1,4 +1,4 @@
-/** Records that tests of the serving path share. */
+/** Builders of records for the tests of the serving path. */
 import type { MemberRecord } from '../../members'
 import type { EvacuationState } from '../evacuations'
 import type { InstanceReport, LeadershipTerm } from '../fleetMessages'
@@ -53,7 +53,7 @@
   return { configVersion: 1, storeAgeMs: 0, inFlight: [], demand: [], leavingServers: [], silentServers: [], spent: [], isReady: true, below: [], isUrgent: false, ...changes }
 }
 
-/** A claim of the orders, at a revision of the store. */
+/** The claim of a leader, at a revision of the store. */
 export function leadingOf (holder: string, revision = 1): LeadershipTerm {
   return { claim: { holder, machine: `${holder} at home`, claim: `${holder} ${revision}` }, revision }
 }
