--- a/packages/magnoliabay/src/node/serving/attempt.ts
+++ b/packages/magnoliabay/src/node/serving/attempt.ts
@@ -1,15 +1,15 @@
-/** One attempt of a request at one backend server: sends it, relays the answer, and tells how it ended. */
+/** Sends a request to one backend server once, relays the response to the caller, and reports how the attempt ended. */
 import type { ServerResponse } from 'node:http'
 import type { EventStream } from './eventStream'
 import type { ResponseHead, Connections, Exchange } from './exchange'
 import type { BackendServer } from './types'
 
-/** Whole answers up to this size are held until they are complete, so that a cut one can be replaced, bytes. */
-const MAX_HELD_BYTES = 262_144
-/** A caller that reads so slowly that this much waits for it is cut: the answer would fill this process, bytes. */
-const MAX_UNSENT_BYTES = 4_194_304
+/** Responses up to this size are buffered until they are complete, so that an incomplete one can be replaced, bytes. */
+const MAX_BUFFERED_BYTES = 262_144
+/** If more than this waits to be sent to a slow caller, the attempt fails, which bounds the memory in use, bytes. */
+const MAX_PENDING_WRITE_BYTES = 4_194_304
 
-/** What an answer's head says, decoded. */
+/** Decoded headers of a response. */
 export interface ResponseMetadata {
   attemptId: string | undefined
   isNotRun: boolean
@@ -17,20 +17,20 @@
 }
 
 /**
- * `relayed`: the whole answer went to the caller. `rejected`: the server did not run the request. `unsent`: nothing
- * reached it. `failed`: it may have run, and nothing of it went to the caller. `cut`: the caller has a part, and its
- * answer is still open. `stopped`: ended from this side.
+ * `relayed`: the complete response went to the caller. `rejected`: the server did not run the request. `unsent`: nothing
+ * reached the server. `failed`: the request may have run, and nothing of the response went to the caller. `cut`: the
+ * caller has part of the response, which is still open. `stopped`: ended by this process.
  */
 export type AttemptEnd =
   | { kind: 'relayed', status: number }
   | { kind: 'rejected', status: number }
   | { kind: 'unsent', reason: string }
-  | { kind: 'failed', reason: string, answer?: WholeAnswer }
+  | { kind: 'failed', reason: string, response?: CompleteResponse }
   | { kind: 'cut', reason: string }
   | { kind: 'stopped' }
 
-/** A failure that the server itself answered, whole. */
-export interface WholeAnswer {
+/** A complete response of a backend server. */
+export interface CompleteResponse {
   head: ResponseHead
   body: Buffer
 }
@@ -42,117 +42,119 @@
   path: string
   headers: readonly string[]
   body: Buffer
-  /** Follows the events of a stream over all attempts; undefined for a request that is no stream. */
+  /** Checks the events of a stream over all attempts; undefined for a request that is not a stream. */
   events: EventStream | undefined
   attemptId: string
   res: ServerResponse
-  decodeAnswer: (head: ResponseHead) => ResponseMetadata
-  returnedHeaders: (rawHeaders: readonly string[]) => string[]
-  /** Whether an answer of this status is to be held back, since the request may be tried elsewhere. */
-  holdsBack: (status: number) => boolean
-  onHeard?: () => void
-  /** The first bytes of the answer go to the caller. */
-  onFirst?: () => void
+  decodeResponseHead: (head: ResponseHead) => ResponseMetadata
+  toCallerHeaders: (rawHeaders: readonly string[]) => string[]
+  /** Whether a response with this status is withheld, since the request may be sent to another server. */
+  isRetryableStatus: (status: number) => boolean
+  /** Called with the head and with each chunk of the response. */
+  onActivity?: () => void
+  /** Called before the first bytes of the response go to the caller. */
+  onFirstByte?: () => void
 }
 
 export interface Attempt {
   readonly end: Promise<AttemptEnd>
-  /** Ends the attempt from this side; the server stops its work. */
+  /** Ends the attempt; the server stops its work. */
   stop (reason: string): void
-  /** Ends it as broken: the server has fallen silent. */
-  giveUp (reason: string): void
+  /** Ends the attempt as failed, for example because the server has stopped responding. */
+  fail (reason: string): void
 }
 
-const PROMISES_NOT_RUN = new Set([408, 421, 429, 503])
-const OK_FROM = 200
-const OK_BELOW = 300
+/** Statuses by which a caller would conclude that the request has not run. */
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503])
+const MIN_OK_STATUS = 200
+const MIN_REDIRECT_STATUS = 300
 
 export function startAttempt (options: AttemptOptions): Attempt {
   const { res, events, server } = options
-  /** An attempt before this one has begun the answer; this one goes on with it. */
+  /** An earlier attempt has started the response to the caller, and this one continues it. */
   const isContinuing = res.headersSent
   let settle: (end: AttemptEnd) => void = () => {}
-  const ended = new Promise<AttemptEnd>(resolve => { settle = resolve })
+  const result = new Promise<AttemptEnd>(resolve => { settle = resolve })
   let head: ResponseHead | undefined
   let isRejected = false
-  let problem: string | undefined
-  let held: Buffer[] = []
-  let heldBytes = 0
+  let failureReason: string | undefined
+  let buffered: Buffer[] = []
+  let bufferedBytes = 0
   let isForwarding = false
   let isStopped = false
 
-  const isOk = (): boolean => head !== undefined && head.status >= OK_FROM && head.status < OK_BELOW
-  const begin = (): void => {
+  const isOk = (): boolean => head !== undefined && head.status >= MIN_OK_STATUS && head.status < MIN_REDIRECT_STATUS
+  const startForwarding = (): void => {
     isForwarding = true
-    options.onFirst?.()
-    if (!res.headersSent) res.writeHead(head!.status, options.returnedHeaders(head!.rawHeaders) as never)
-    held.forEach(chunk => res.write(chunk))
-    held = []
+    options.onFirstByte?.()
+    if (!res.headersSent) res.writeHead(head!.status, options.toCallerHeaders(head!.rawHeaders) as never)
+    buffered.forEach(chunk => res.write(chunk))
+    buffered = []
   }
-  const spoil = (reason: string): void => {
-    problem = reason
+  const fail = (reason: string): void => {
+    failureReason = reason
     exchange.cancel(reason)
   }
-  const onHead = (answer: ResponseHead): void => {
-    head = answer
-    options.onHeard?.()
-    const marks = options.decodeAnswer(answer)
-    if (marks.attemptId !== undefined && marks.attemptId !== options.attemptId) return spoil('answer belongs to another request')
-    isRejected = marks.isNotRun
+  const onHead = (response: ResponseHead): void => {
+    head = response
+    options.onActivity?.()
+    const metadata = options.decodeResponseHead(response)
+    if (metadata.attemptId !== undefined && metadata.attemptId !== options.attemptId) return fail('response belongs to another request')
+    isRejected = metadata.isNotRun
     if (isRejected) return
-    if (isOk() && !marks.isSigned) return spoil('answer is not signed')
-    // A status that promises *not run* from a server that does not: passed on it would be a false promise.
-    if (PROMISES_NOT_RUN.has(answer.status)) return spoil(`status ${answer.status} without the server's word that it has not run`)
-    if (isContinuing && !isOk()) spoil(`status ${answer.status} to a stream that goes on`)
+    if (isOk() && !metadata.isSigned) return fail('response is not signed')
+    // The server does not confirm that the request has not run, so relaying such a status would mislead the caller.
+    if (NOT_RUN_STATUSES.has(response.status)) return fail(`status ${response.status} without confirmation that the request has not run`)
+    if (isContinuing && !isOk()) fail(`status ${response.status} to a resumed stream`)
   }
-  const pass = (bytes: Buffer): void => {
+  const forward = (bytes: Buffer): void => {
     if (bytes.length === 0) return
-    if (!isForwarding) begin()
+    if (!isForwarding) startForwarding()
     res.write(bytes)
-    if (res.writableLength > MAX_UNSENT_BYTES) spoil('caller reads too slowly')
+    if (res.writableLength > MAX_PENDING_WRITE_BYTES) fail('caller reads too slowly')
   }
-  const passEvents = (stream: EventStream, chunk: Buffer): void => {
-    const followed = stream.push(chunk)
-    pass(followed.events)
-    if (followed.problem !== undefined) spoil(`event is ${followed.problem}`)
+  const forwardEvents = (stream: EventStream, chunk: Buffer): void => {
+    const parsed = stream.push(chunk)
+    forward(parsed.events)
+    if (parsed.problem !== undefined) fail(`invalid event: ${parsed.problem}`)
   }
   const onData = (chunk: Buffer): void => {
-    if (problem !== undefined) return
-    options.onHeard?.()
-    if (!isRejected && isOk() && events !== undefined) return passEvents(events, chunk)
-    if (isForwarding) return pass(chunk)
-    held.push(chunk)
-    heldBytes += chunk.length
-    if (!isRejected && !options.holdsBack(head!.status) && heldBytes > MAX_HELD_BYTES) begin()
+    if (failureReason !== undefined) return
+    options.onActivity?.()
+    if (!isRejected && isOk() && events !== undefined) return forwardEvents(events, chunk)
+    if (isForwarding) return forward(chunk)
+    buffered.push(chunk)
+    bufferedBytes += chunk.length
+    if (!isRejected && !options.isRetryableStatus(head!.status) && bufferedBytes > MAX_BUFFERED_BYTES) startForwarding()
   }
-  const endWhole = (): AttemptEnd => {
+  const concludeComplete = (): AttemptEnd => {
     if (isRejected) return { kind: 'rejected', status: head!.status }
-    if (events?.isInEvent()) return endBroken('stream ends within an event')
+    if (events?.isInEvent()) return concludeIncomplete('stream ends within an event')
     if (isForwarding || isContinuing) {
       res.end()
       return { kind: 'relayed', status: head!.status }
     }
-    const answer: WholeAnswer = { head: head!, body: Buffer.concat(held) }
-    if (options.holdsBack(head!.status)) return { kind: 'failed', reason: `status ${head!.status}`, answer }
-    sendWhole(res, answer, options.returnedHeaders)
+    const response: CompleteResponse = { head: head!, body: Buffer.concat(buffered) }
+    if (options.isRetryableStatus(head!.status)) return { kind: 'failed', reason: `status ${head!.status}`, response }
+    sendCompleteResponse(res, response, options.toCallerHeaders)
     return { kind: 'relayed', status: head!.status }
   }
-  const endBroken = (reason: string): AttemptEnd => {
+  const concludeIncomplete = (reason: string): AttemptEnd => {
     if (isRejected && head !== undefined) return { kind: 'rejected', status: head.status }
-    return { kind: isForwarding || isContinuing ? 'cut' : 'failed', reason: problem ?? reason }
+    return { kind: isForwarding || isContinuing ? 'cut' : 'failed', reason: failureReason ?? reason }
   }
   const exchange: Exchange = options.connections.exchange({ address: server.address, method: options.method, path: options.path, headers: options.headers, body: options.body }, {
     onHead,
     onData,
-    onEnd: (how, reason) => {
+    onEnd: (exchangeEnd, reason) => {
       if (isStopped) return settle({ kind: 'stopped' })
-      if (how === 'unsent') return settle({ kind: 'unsent', reason })
-      settle(how === 'whole' && problem === undefined ? endWhole() : endBroken(reason))
+      if (exchangeEnd === 'unsent') return settle({ kind: 'unsent', reason })
+      settle(exchangeEnd === 'whole' && failureReason === undefined ? concludeComplete() : concludeIncomplete(reason))
     }
   })
   return {
-    end: ended,
-    giveUp: spoil,
+    end: result,
+    fail,
     stop: reason => {
       isStopped = true
       exchange.cancel(reason)
@@ -160,10 +162,10 @@
   }
 }
 
-/** Sends an answer that is complete. */
-export function sendWhole (res: ServerResponse, answer: WholeAnswer, returnedHeaders: AttemptOptions['returnedHeaders']): void {
-  const headers = returnedHeaders(answer.head.rawHeaders)
-  const hasLength = answer.head.headers['content-length'] !== undefined
-  res.writeHead(answer.head.status, [...headers, ...(hasLength ? [] : ['Content-Length', String(answer.body.length)])] as never)
-  res.end(answer.body)
+/** Sends a complete response of a backend server to the caller. */
+export function sendCompleteResponse (res: ServerResponse, response: CompleteResponse, toCallerHeaders: AttemptOptions['toCallerHeaders']): void {
+  const headers = toCallerHeaders(response.head.rawHeaders)
+  const hasLength = response.head.headers['content-length'] !== undefined
+  res.writeHead(response.head.status, [...headers, ...(hasLength ? [] : ['Content-Length', String(response.body.length)])] as never)
+  res.end(response.body)
 }
--- a/packages/magnoliabay/src/node/serving/dissemination.ts
+++ b/packages/magnoliabay/src/node/serving/dissemination.ts
@@ -1,7 +1,7 @@
 /**
- * Brings configuration, members and server list to every instance. The leader watches the store for all and tells what
- * changed; whoever hears it tells those who report to it in turn. An instance that hears neither the leader nor the
- * store asks a peer.
+ * Distributes configuration, members and server list to every instance. The leader watches the store for all instances
+ * and sends changes to those that report to it; each of them forwards the changes to its own reporters. An instance that
+ * reaches neither the leader nor the store asks a peer.
  */
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
@@ -11,15 +11,16 @@
 import type { ServingConfigProvider } from './servingConfigProvider'
 import { configNotice, evacuationNotice, membersNotice, serversNotice } from './fleetMessages'
 import type { FleetSummary, LeadershipTerm, ListedServer } from './fleetMessages'
-import { packText, unpackText } from './compressedText'
+import { compressText, decompressText } from './compressedText'
 import type { EvacuationState, Evacuations } from './evacuations'
 import type { ServerList } from './serverList'
 
-/** What an instance knows of the store, for one that does not reach it. */
-export interface News {
+/** State of an instance, sent to a peer that does not reach the store. */
+export interface PeerStatus {
   configVersion: number
+  /** Time since the store last answered, milliseconds. */
   storeAgeMs: number
-  /** The claim by which an instance leads, as far as it knows. */
+  /** The claim of the leader, if known. */
   leading: LeadershipTerm | undefined
   leavingServers: readonly string[]
   isListKnown: boolean
@@ -29,24 +30,24 @@
 const configCall = definePeerCall<Record<string, never>, { packed: Uint8Array | undefined }>('serving.config')
 const serversCall = definePeerCall<Record<string, never>, { servers: readonly ListedServer[] }>('serving.servers')
 const membersCall = definePeerCall<Record<string, never>, { members: readonly MemberRecord[] }>('serving.members')
-const newsCall = definePeerCall<Record<string, never>, News>('serving.news')
+const statusCall = definePeerCall<Record<string, never>, PeerStatus>('serving.news')
 
-/** Changes of a list are gathered for this long, milliseconds, for each who is told and at least. */
-const GATHER_PER_FOLLOWER_MS = 0.5
-const MIN_GATHER_MS = 4
-/** The same for a leader whom relays stand below: each change goes to everybody, and wakes hundreds, milliseconds. */
-const RELAYED_GATHER_MS = 80
-/** A configuration that is told about comes with a notice of its own within this time, unless that was lost. */
-const CONFIG_PATIENCE_MS = 100
-/** A whole list is asked for at most this often. */
-const LIST_PERIOD_MS = 700
-/** An instance that hears nothing of the store asks a peer this often. */
-const NEWS_PERIOD_MS = 250
-/** Own contact with the store that is older than this counts as lost: its watch would have brought something. */
-const STORE_LOST_MS = 5500
+/** Changes of a list are batched for this long for each follower, and at least for the minimum below, milliseconds. */
+const BATCH_DELAY_PER_FOLLOWER_MS = 0.5
+const MIN_BATCH_DELAY_MS = 4
+/** The same for a leader with relays, where each change wakes hundreds of instances, milliseconds. */
+const RELAYED_BATCH_DELAY_MS = 80
+/** A configuration that a summary names is fetched if its notice has not arrived within this time, milliseconds. */
+const CONFIG_NOTICE_TIMEOUT_MS = 100
+/** Shortest time between two fetches of a complete list, milliseconds. */
+const MIN_LIST_FETCH_INTERVAL_MS = 700
+/** Interval at which an instance without contact to the leader and the store asks a peer, milliseconds. */
+const STATUS_POLL_INTERVAL_MS = 250
+/** The store counts as lost after this long without an answer: a watch is answered sooner, milliseconds. */
+const STORE_CONTACT_TIMEOUT_MS = 5500
 const CALL_TIMEOUT_MS = 700
 
-export interface SpreadOptions {
+export interface DisseminationOptions {
   peers: Peers
   cfg: ServingConfigProvider
   servers: ServerList
@@ -54,52 +55,54 @@
   members: MemberList
   /** Milliseconds since the store last answered here. */
   storeAgeMs: () => number
-  /** The claim by which an instance leads, as far as known here. */
+  /** The claim of the leader, if known. */
   leading: () => LeadershipTerm | undefined
-  /** Those who report here, and follow what this instance knows. */
+  /** Members that report to this instance or use it as store proxy: they receive its changes. */
   followers: () => readonly string[]
-  /** This instance leads, and relays pass on what it tells. */
+  /** Whether this instance leads and relays forward its messages. */
   isLeadingRelays: () => boolean
-  /** Another tells this instance what changes. */
+  /** Whether another instance sends the changes of the store to this one. */
   isFollowing: () => boolean
-  /** Whether a link to the member stands. */
+  /** Whether the link to the member is up. */
   isLinked: (member: string) => boolean
   /** Whether the member watches the store for this instance. */
   isProxy: (member: string) => boolean
-  /** A peer tells who leads. */
-  onLeaderTold: (leading: LeadershipTerm) => void
+  /** Called when a peer names the leader. */
+  onLeaderLearned: (leading: LeadershipTerm) => void
   clock: Clock
   logger: Logger
   random: () => number
 }
 
-export interface Spread {
+export interface Dissemination {
   start (signal: AbortSignal): void
-  /** To be called with each summary that is news, and who told it. */
-  noteSummary (member: string, summary: FleetSummary): void
-  /** Another watches the store for this instance from now on: takes over what it knows. */
-  noteProxy (member: string): void
-  /** Tells now what has changed: a summary that shows it would else come first, and the whole lists be fetched. */
-  tellChanges (): void
+  /** Applies a summary that is newer than those before; `member` sent or forwarded it. */
+  applySummary (member: string, summary: FleetSummary): void
+  /** Fetches servers and members from a member that now watches the store for this instance. */
+  syncFromProxy (member: string): void
+  /**
+   * Sends pending changes at once. To be called before a summary with the new digests is sent: if that came first,
+   * receivers would fetch the complete lists.
+   */
+  sendChanges (): void
 }
 
-export function createSpread (options: SpreadOptions): Spread {
+export function createDissemination (options: DisseminationOptions): Dissemination {
   const { peers, cfg, servers, members, storeAgeMs, clock, logger } = options
   let isFetchingConfig = false
   let behindSinceMs: number | undefined
-  let isTelling = false
-  let configTold = 0
-  /** Revision. */
-  let evacuationTold = 0
-  let packedOf = { version: 0, packed: undefined as Uint8Array | undefined }
+  let isSendScheduled = false
+  let sentConfigVersion = 0
+  let sentEvacuationRevision = 0
+  let packedCache = { version: 0, packed: undefined as Uint8Array | undefined }
 
   const packedConfig = (): Uint8Array | undefined => {
     const text = cfg.text()
-    if (text !== undefined && packedOf.version !== cfg.version()) packedOf = { version: cfg.version(), packed: packText(text) }
-    return packedOf.packed
+    if (text !== undefined && packedCache.version !== cfg.version()) packedCache = { version: cfg.version(), packed: compressText(text) }
+    return packedCache.packed
   }
-  const takeConfig = (member: string, packed: Uint8Array): void => {
-    const text = unpackText(packed)
+  const applyPackedConfig = (member: string, packed: Uint8Array): void => {
+    const text = decompressText(packed)
     if (text.ok) cfg.applyIfNewer(text.val, 'peer')
     else logger.warn('config-unreadable', { source: 'peer', peer: member, reason: text.val })
   }
@@ -107,11 +110,11 @@
   peers.serve(configCall, () => ({ packed: packedConfig() }))
   peers.serve(serversCall, () => ({ servers: servers.isKnown() ? servers.listed() : [] }))
   peers.serve(membersCall, () => ({ members: members.records() }))
-  peers.serve(newsCall, () => ({ configVersion: cfg.version(), storeAgeMs: storeAgeMs(), leading: options.leading(), leavingServers: servers.leaving(), isListKnown: servers.isKnown(), evacuation: options.evacuations.state() }))
+  peers.serve(statusCall, () => ({ configVersion: cfg.version(), storeAgeMs: storeAgeMs(), leading: options.leading(), leavingServers: servers.leaving(), isListKnown: servers.isKnown(), evacuation: options.evacuations.state() }))
   peers.listen(serversNotice, notice => servers.applyChanges(notice))
-  peers.listen(evacuationNotice, state => options.evacuations.noteTold(state))
-  peers.listen(configNotice, ({ packed }, from) => takeConfig(from.id, packed))
-  // One who reads the members itself is not to go back to what another knew before.
+  peers.listen(evacuationNotice, state => options.evacuations.applyFromPeer(state))
+  peers.listen(configNotice, ({ packed }, from) => applyPackedConfig(from.id, packed))
+  // An instance that reads the members from the store must not revert to the older list of a peer.
   peers.listen(membersNotice, (changes, from) => { if (options.isFollowing() || options.isProxy(from.id)) members.applyChanges(changes) })
 
   const fetchConfig = async (member: string): Promise<void> => {
@@ -120,25 +123,25 @@
     const reply = await peers.call(member, configCall, {}, { timeoutMs: CALL_TIMEOUT_MS })
     isFetchingConfig = false
     if (reply.err) return logger.info('config-not-fetched', { peer: member, reason: reply.val.kind })
-    if (reply.val.packed !== undefined) takeConfig(member, reply.val.packed)
+    if (reply.val.packed !== undefined) applyPackedConfig(member, reply.val.packed)
   }
-  /** Fetches a whole list, never twice within a short time. */
-  const createFetch = <Res>(call: PeerCall<Record<string, never>, Res>, adopt: (res: Res) => void): (member: string) => Promise<void> => {
-    let fetchedMs = -Infinity
+  /** Creates a function that fetches a complete list, at most once an interval. */
+  const createListFetch = <Res>(call: PeerCall<Record<string, never>, Res>, apply: (res: Res) => void): (member: string) => Promise<void> => {
+    let lastFetchMs = -Infinity
     return async member => {
-      if (clock.monotonic() - fetchedMs < LIST_PERIOD_MS) return
-      fetchedMs = clock.monotonic()
+      if (clock.monotonic() - lastFetchMs < MIN_LIST_FETCH_INTERVAL_MS) return
+      lastFetchMs = clock.monotonic()
       const reply = await peers.call(member, call, {}, { timeoutMs: CALL_TIMEOUT_MS })
-      if (reply.ok) adopt(reply.val)
+      if (reply.ok) apply(reply.val)
       else logger.info('list-not-fetched', { list: call.kind, peer: member, reason: reply.val.kind })
     }
   }
-  const fetchServers = createFetch(serversCall, reply => { if (reply.servers.length > 0) servers.replaceAll(reply.servers) })
-  const fetchMembers = createFetch(membersCall, reply => { if (reply.members.length > 0) members.replaceAll(reply.members) })
+  const fetchServers = createListFetch(serversCall, reply => { if (reply.servers.length > 0) servers.replaceAll(reply.servers) })
+  const fetchMembers = createListFetch(membersCall, reply => { if (reply.members.length > 0) members.replaceAll(reply.members) })
 
-  /** All changes of a moment go in one notice for each list. */
-  const tellChanges = (): void => {
-    isTelling = false
+  /** Sends all batched changes in one notice for each list. */
+  const sendChanges = (): void => {
+    isSendScheduled = false
     const followers = options.followers()
     const changedServers = servers.takeChanges()
     const changedMembers = members.takeChanges()
@@ -146,67 +149,67 @@
     if (changedServers !== undefined) peers.notifyLinked(followers, serversNotice, changedServers)
     if (changedMembers !== undefined) peers.notifyLinked(followers, membersNotice, changedMembers)
     const evacuation = options.evacuations.state()
-    if (evacuation.revision !== evacuationTold) peers.notifyLinked(followers, evacuationNotice, evacuation)
-    evacuationTold = evacuation.revision
-    if (cfg.version() === configTold) return
-    configTold = cfg.version()
+    if (evacuation.revision !== sentEvacuationRevision) peers.notifyLinked(followers, evacuationNotice, evacuation)
+    sentEvacuationRevision = evacuation.revision
+    if (cfg.version() === sentConfigVersion) return
+    sentConfigVersion = cfg.version()
     const packed = packedConfig()
     if (packed !== undefined) peers.notifyLinked(followers, configNotice, { packed })
   }
-  const gatherMs = (): number =>
-    options.isLeadingRelays() ? RELAYED_GATHER_MS : Math.max(MIN_GATHER_MS, options.followers().length * GATHER_PER_FOLLOWER_MS)
-  const tellSoon = (): void => {
-    if (isTelling || options.followers().length === 0) return
-    isTelling = true
-    clock.schedule(gatherMs(), () => { if (isTelling) tellChanges() })
+  const batchDelayMs = (): number =>
+    options.isLeadingRelays() ? RELAYED_BATCH_DELAY_MS : Math.max(MIN_BATCH_DELAY_MS, options.followers().length * BATCH_DELAY_PER_FOLLOWER_MS)
+  const scheduleSend = (): void => {
+    if (isSendScheduled || options.followers().length === 0) return
+    isSendScheduled = true
+    clock.schedule(batchDelayMs(), () => { if (isSendScheduled) sendChanges() })
   }
-  servers.onChanged(tellSoon)
-  members.onChanged(tellSoon)
-  cfg.onChanged(tellSoon)
-  options.evacuations.onChanged(tellSoon)
+  servers.onChanged(scheduleSend)
+  members.onChanged(scheduleSend)
+  cfg.onChanged(scheduleSend)
+  options.evacuations.onChanged(scheduleSend)
 
-  const isLacking = (): boolean => cfg.version() === 0 || !servers.isKnown()
-  const isBlind = (): boolean => isLacking() || (!options.isFollowing() && storeAgeMs() > STORE_LOST_MS)
-  const anyPeer = (): string | undefined => {
+  const lacksInitialState = (): boolean => cfg.version() === 0 || !servers.isKnown()
+  const isOutOfDate = (): boolean => lacksInitialState() || (!options.isFollowing() && storeAgeMs() > STORE_CONTACT_TIMEOUT_MS)
+  const pickLinkedPeer = (): string | undefined => {
     const linked = peers.members().map(member => member.id).filter(member => member !== peers.self.id && options.isLinked(member))
     return linked[Math.floor(options.random() * linked.length)]
   }
-  const askNews = async (): Promise<void> => {
-    const member = isBlind() ? anyPeer() : undefined
+  const pollPeerStatus = async (): Promise<void> => {
+    const member = isOutOfDate() ? pickLinkedPeer() : undefined
     if (member === undefined) return
-    const reply = await peers.call(member, newsCall, {}, { timeoutMs: CALL_TIMEOUT_MS })
+    const reply = await peers.call(member, statusCall, {}, { timeoutMs: CALL_TIMEOUT_MS })
     if (reply.err) return logger.info('news-not-heard', { peer: member, reason: reply.val.kind })
-    const news = reply.val
-    if (news.configVersion > cfg.version()) await fetchConfig(member)
-    news.leavingServers.forEach(servers.noteLeaving)
-    options.evacuations.noteTold(news.evacuation)
-    const isPeerBetter = news.storeAgeMs < storeAgeMs()
-    if (news.leading !== undefined) options.onLeaderTold(news.leading)
-    // Without members it could report to nobody, and be told nothing.
+    const status = reply.val
+    if (status.configVersion > cfg.version()) await fetchConfig(member)
+    status.leavingServers.forEach(servers.noteLeaving)
+    options.evacuations.applyFromPeer(status.evacuation)
+    const isPeerBetter = status.storeAgeMs < storeAgeMs()
+    if (status.leading !== undefined) options.onLeaderLearned(status.leading)
+    // Without members this instance could report to nobody, and would receive no summaries.
     if (members.records().length === 0) await fetchMembers(member)
-    if (news.isListKnown && (isPeerBetter || !servers.isKnown())) await fetchServers(member)
+    if (status.isListKnown && (isPeerBetter || !servers.isKnown())) await fetchServers(member)
   }
-  const noteConfigVersion = (member: string, version: number): void => {
+  const observeConfigVersion = (member: string, version: number): void => {
     if (version <= cfg.version()) {
       behindSinceMs = undefined
       return
     }
     behindSinceMs ??= clock.monotonic()
-    if (cfg.version() === 0 || clock.monotonic() - behindSinceMs >= CONFIG_PATIENCE_MS) fetchConfig(member)
+    if (cfg.version() === 0 || clock.monotonic() - behindSinceMs >= CONFIG_NOTICE_TIMEOUT_MS) fetchConfig(member)
   }
 
   return {
-    start: signal => repeat(clock, NEWS_PERIOD_MS, signal, askNews),
-    tellChanges,
-    noteProxy: member => {
+    start: signal => repeat(clock, STATUS_POLL_INTERVAL_MS, signal, pollPeerStatus),
+    sendChanges,
+    syncFromProxy: member => {
       fetchServers(member)
       fetchMembers(member)
     },
-    noteSummary: (member, summary) => {
-      options.onLeaderTold(summary.leading)
+    applySummary: (member, summary) => {
+      options.onLeaderLearned(summary.leading)
       summary.leavingServers.forEach(servers.noteLeaving)
-      options.evacuations.noteTold(summary.evacuation)
-      noteConfigVersion(member, summary.configVersion)
+      options.evacuations.applyFromPeer(summary.evacuation)
+      observeConfigVersion(member, summary.configVersion)
       if (!options.isFollowing()) return
       if (summary.listDigest !== servers.digest()) fetchServers(member)
       if (summary.membersDigest !== members.digest()) fetchMembers(member)
--- a/packages/magnoliabay/src/node/serving/entryServer.ts
+++ b/packages/magnoliabay/src/node/serving/entryServer.ts
@@ -1,4 +1,4 @@
-/** Where callers connect: reads requests within the limits in force and hands them on. */
+/** HTTP server for callers: reads requests within the configured limits and passes them to `serve`. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -12,14 +12,14 @@
 import type { Inbound } from './requestRun'
 import type { CallerLimits } from './types'
 
-/** Before a configuration is known, callers are held to nothing but these. */
-const FIRST_LIMITS: CallerLimits = { maxHeaderBytes: 65_536, maxBodyBytes: 4_194_304, headerTimeoutMs: 10_000, idleTimeoutMs: 15_000 }
-/** Connections are kept longer than callers reuse them, so that no request crosses the close of its connection. */
-const IDLE_MARGIN_MS = 2000
-/** A body may take this long, milliseconds. */
+/** Limits that apply until a configuration is known. */
+const DEFAULT_LIMITS: CallerLimits = { maxHeaderBytes: 65_536, maxBodyBytes: 4_194_304, headerTimeoutMs: 10_000, idleTimeoutMs: 15_000 }
+/** Idle connections are kept this much longer than callers reuse them, so that none is closed as a request arrives. */
+const KEEP_ALIVE_MARGIN_MS = 2000
+/** Longest time for receiving a body, milliseconds. */
 const BODY_TIMEOUT_MS = 30_000
 
-export interface FrontDoorOptions {
+export interface EntryServerOptions {
   address: string
   serve: (inbound: Inbound) => Promise<void>
   isLeaving: () => boolean
@@ -27,27 +27,27 @@
   logger: Logger
 }
 
-export interface FrontDoor {
+export interface EntryServer {
   start (): Promise<void>
   setLimits (limits: CallerLimits): void
-  /** `ip:port` on which it listens. */
+  /** `ip:port` on which the server listens. */
   address (): string
-  /** Takes no more connections; resolves when the last request has ended, or after `drainMs`. */
+  /** Accepts no more connections; resolves when the last request has ended, or cuts the rest after `drainMs`. */
   close (drainMs: number): Promise<void>
 }
 
-export function createFrontDoor (options: FrontDoorOptions): FrontDoor {
+export function createEntryServer (options: EntryServerOptions): EntryServer {
   const { clock, logger, serve } = options
   let readBody: Handler
-  let open = 0
+  let openRequests = 0
 
   const handle = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const arrivedMs = clock.monotonic()
     const entryReq = req as EntryRequest
     entryReq.requestId = createId('req')
-    open += 1
-    res.once('close', () => { open -= 1 })
-    // A caller that keeps its connection would send its next request to a process that is about to end.
+    openRequests += 1
+    res.once('close', () => { openRequests -= 1 })
+    // Otherwise the caller would reuse the connection and send its next request to a process that is about to end.
     if (options.isLeaving()) res.setHeader('connection', 'close')
     readBody(entryReq, res, () => {
       serve({ req, res, body: entryReq.rawBody, arrivedMs }).catch((err: unknown) => {
@@ -56,15 +56,15 @@
       })
     })
   }
-  const server = createServer({ keepAlive: true, noDelay: true, maxHeaderSize: FIRST_LIMITS.maxHeaderBytes }, handle)
+  const server = createServer({ keepAlive: true, noDelay: true, maxHeaderSize: DEFAULT_LIMITS.maxHeaderBytes }, handle)
   handleClientErrors(server, clock)
   const setLimits = (limits: CallerLimits): void => {
     server.headersTimeout = limits.headerTimeoutMs
     server.requestTimeout = limits.headerTimeoutMs + BODY_TIMEOUT_MS
-    server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS
+    server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS
     readBody = bodyMiddleware(clock, { maxBodyBytes: limits.maxBodyBytes, bodyTimeoutMs: BODY_TIMEOUT_MS })
   }
-  setLimits(FIRST_LIMITS)
+  setLimits(DEFAULT_LIMITS)
 
   return {
     setLimits,
@@ -77,7 +77,7 @@
       const closed = new Promise<void>(resolve => { server.close(() => resolve()) })
       server.closeIdleConnections()
       if (await withTimeout(clock, drainMs, closed) !== TIMED_OUT) return
-      logger.warn('requests-cut-by-shutdown', { open })
+      logger.warn('requests-cut-by-shutdown', { open: openRequests })
       server.closeAllConnections()
     }
   }
--- a/packages/magnoliabay/src/node/serving/evacuations.ts
+++ b/packages/magnoliabay/src/node/serving/evacuations.ts
@@ -1,68 +1,70 @@
 /**
- * Failure domains whose backend servers are to get nothing new until the operator says otherwise. What runs there
- * finishes. What is known is ordered by the store's revision: an instance that hears of it from several peers, or late,
- * never goes back to what was before.
+ * Tracks evacuated failure domains: their backend servers get no new requests until the operator ends the evacuation,
+ * and requests that run there finish. States are ordered by the revision of the store, so an instance that receives them
+ * from several peers, or late, never reverts to an older one.
  */
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
 
 export interface EvacuationState {
   domains: readonly string[]
-  /** Of the store, when this was so; 0 while nothing is known. */
+  /** Revision of the store at which this state was read; 0 while none is known. */
   revision: number
 }
 
 export interface Evacuations {
   isEvacuated (failureDomain: string): boolean
-  /** Milliseconds since the evacuation of a failure domain ended; Infinity where none has. */
+  /** Milliseconds since the evacuation of a failure domain ended; Infinity if none has ended. */
   endedAgoMs (failureDomain: string): number
   state (): EvacuationState
-  /** By the store: all that there are. */
+  /** Applies the complete list of evacuated failure domains as read from the store. */
   snapshot (domains: readonly string[], revision: number): void
+  /** Applies the beginning of an evacuation, reported by the store. */
   begin (failureDomain: string, revision: number): void
+  /** Applies the end of an evacuation, reported by the store. */
   end (failureDomain: string, revision: number): void
-  /** A peer tells what it knows; an instance of an older version tells nothing. */
-  noteTold (state: EvacuationState | undefined): void
+  /** Applies the state that a peer has sent; undefined from a peer of an older version. */
+  applyFromPeer (state: EvacuationState | undefined): void
   onChanged (listener: () => void): void
 }
 
 export interface EvacuationsOptions {
-  /** Monotonic milliseconds since when the store has been answering without a break. */
+  /** Time since which the store has answered without interruption, monotonic milliseconds. */
   storeReachableSinceMs: () => number
   clock: Clock
   logger: Logger
 }
 
-/** What a store that was away, or went back to an older copy, lacks is written again within this time, milliseconds. */
-const REWRITTEN_MS = 2500
+/** Time within which records that an outage or a rollback of the store removed are written again, milliseconds. */
+const REWRITE_TIMEOUT_MS = 2500
 
-export function createEvacuations ({ storeReachableSinceMs: storeSteadySinceMs, clock, logger }: EvacuationsOptions): Evacuations {
+export function createEvacuations ({ storeReachableSinceMs, clock, logger }: EvacuationsOptions): Evacuations {
   const listeners: Array<() => void> = []
-  const endedMs = new Map<string, number>()
+  const endedMsByDomain = new Map<string, number>()
   let current: EvacuationState = { domains: [], revision: 0 }
 
-  const take = (next: EvacuationState, source: 'store' | 'peer'): void => {
+  const apply = (next: EvacuationState, source: 'store' | 'peer'): void => {
     if (next.revision <= current.revision) return
     const ended = current.domains.filter(domain => !next.domains.includes(domain))
     const isChanged = ended.length > 0 || next.domains.length !== current.domains.length
     current = next
-    ended.forEach(domain => endedMs.set(domain, clock.monotonic()))
+    ended.forEach(domain => endedMsByDomain.set(domain, clock.monotonic()))
     if (!isChanged) return
     logger.info('evacuation', { domains: next.domains, ended, revision: next.revision, source })
     listeners.forEach(listener => listener())
   }
   return {
     isEvacuated: failureDomain => current.domains.includes(failureDomain),
-    endedAgoMs: failureDomain => clock.monotonic() - (endedMs.get(failureDomain) ?? -Infinity),
+    endedAgoMs: failureDomain => clock.monotonic() - (endedMsByDomain.get(failureDomain) ?? -Infinity),
     state: () => current,
     snapshot: (domains, revision) => {
-      const isDoubtful = clock.monotonic() - storeSteadySinceMs() < REWRITTEN_MS && current.domains.some(domain => !domains.includes(domain))
-      if (isDoubtful) clock.schedule(REWRITTEN_MS, () => take({ domains, revision }, 'store'))
-      else take({ domains, revision }, 'store')
+      const mayBeRollback = clock.monotonic() - storeReachableSinceMs() < REWRITE_TIMEOUT_MS && current.domains.some(domain => !domains.includes(domain))
+      if (mayBeRollback) clock.schedule(REWRITE_TIMEOUT_MS, () => apply({ domains, revision }, 'store'))
+      else apply({ domains, revision }, 'store')
     },
-    begin: (failureDomain, revision) => take({ domains: [...new Set([...current.domains, failureDomain])], revision }, 'store'),
-    end: (failureDomain, revision) => take({ domains: current.domains.filter(domain => domain !== failureDomain), revision }, 'store'),
-    noteTold: state => { if (state !== undefined) take(state, 'peer') },
+    begin: (failureDomain, revision) => apply({ domains: [...new Set([...current.domains, failureDomain])], revision }, 'store'),
+    end: (failureDomain, revision) => apply({ domains: current.domains.filter(domain => domain !== failureDomain), revision }, 'store'),
+    applyFromPeer: state => { if (state !== undefined) apply(state, 'peer') },
     onChanged: listener => { listeners.push(listener) }
   }
 }
--- a/packages/magnoliabay/src/node/serving/exchange.ts
+++ b/packages/magnoliabay/src/node/serving/exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One request on one connection to a backend server, by `node:http`: `undici` takes a reset for the end of an
- * answer that has no length, which would pass a cut answer on as whole.
+ * Sends one request on one connection to a backend server. It uses `node:http`, since `undici` treats a connection reset
+ * as the end of a response without length, so that a cut response would be relayed as complete.
  */
 import { Agent, request } from 'node:http'
 import type { AgentOptions, ClientRequest, IncomingHttpHeaders, IncomingMessage } from 'node:http'
@@ -10,21 +10,24 @@
 import { probeAddress } from '../probe'
 import { parseHostPort } from '../utils'
 
-/** Servers that name no timeout may close an idle connection within a second; what is sent then is lost, or run unanswered. */
-const REUSE_UNSTATED_MS = 300
-/** Part of the stated idle time for which a connection is used again: the request must arrive before the server closes. */
-const REUSE_PART = 0.6
-/** A connection takes a round trip; one whose first packet was lost would be tried again after seconds. */
+/**
+ * A server that states no timeout may close an idle connection within a second. A request sent at that moment is lost, or
+ * runs without a response.
+ */
+const DEFAULT_REUSE_TIMEOUT_MS = 300
+/** Fraction of the stated idle timeout for which a connection is reused: requests must arrive before the server closes. */
+const REUSE_TIMEOUT_RATIO = 0.6
+/** Connecting takes a round trip; the system repeats a lost first packet only after seconds. */
 const CONNECT_TIMEOUT_MS = 800
 
-/** A server that lives accepts within a round trip. */
-const PROOF_TIMEOUT_MS = 400
+/** A running server accepts a connection within a round trip. */
+const PROBE_TIMEOUT_MS = 400
 
 export interface OutboundRequest {
   address: string
   method: string
   path: string
-  /** Name and value in turn. */
+  /** Names and values alternate. */
   headers: readonly string[]
   body: Buffer
 }
@@ -36,15 +39,15 @@
 }
 
 /**
- * `whole`: the complete answer came. `unsent`: nothing of the request left this process. `broken`: anything else;
- * the request may have run.
+ * `whole`: the response is complete. `unsent`: nothing of the request left this process. `broken`: anything else; the
+ * request may have run.
  */
 export type ExchangeEnd = 'whole' | 'unsent' | 'broken'
 
-export interface AnswerSink {
+export interface ResponseHandler {
   onHead (head: ResponseHead): void
   onData (chunk: Buffer): void
-  /** Called exactly once, last. */
+  /** Called exactly once, after all other calls. */
   onEnd (end: ExchangeEnd, reason: string): void
 }
 
@@ -53,60 +56,60 @@
   cancel (reason: string): void
 }
 
-function idleLimitMs (keepAlive: string | undefined): number {
-  const stated = /timeout=(\d+)/.exec(keepAlive ?? '')?.[1]
-  return stated === undefined ? REUSE_UNSTATED_MS : Math.max(REUSE_UNSTATED_MS, Number(stated) * 1000 * REUSE_PART)
+function reuseTimeoutMs (keepAlive: string | undefined): number {
+  const statedSeconds = /timeout=(\d+)/.exec(keepAlive ?? '')?.[1]
+  return statedSeconds === undefined ? DEFAULT_REUSE_TIMEOUT_MS : Math.max(DEFAULT_REUSE_TIMEOUT_MS, Number(statedSeconds) * 1000 * REUSE_TIMEOUT_RATIO)
 }
 
-function spoilIdle (this: Socket): void {
+function destroySocket (this: Socket): void {
   this.destroy()
 }
 
-/** Keeps a connection only while it is sure to be good, and drops one that says something unasked. */
-class CarefulAgent extends Agent {
+/** Reuses an idle connection only within its timeout, and drops one that receives unsolicited bytes. */
+class KeepAliveAgent extends Agent {
   override keepSocketAlive (socket: Duplex): boolean {
-    const used = socket as Socket & { _httpMessage?: { res?: IncomingMessage } }
-    const keepAlive = used._httpMessage?.res?.headers['keep-alive']
-    used.setTimeout(idleLimitMs(keepAlive as string | undefined))
-    // Bytes on an idle connection belong to no request: taken for the next answer they would reach the wrong caller.
-    used.on('data', spoilIdle)
+    const connection = socket as Socket & { _httpMessage?: { res?: IncomingMessage } }
+    const keepAlive = connection._httpMessage?.res?.headers['keep-alive']
+    connection.setTimeout(reuseTimeoutMs(keepAlive as string | undefined))
+    // Bytes on an idle connection belong to no request. Read as the next response they would reach the wrong caller.
+    connection.on('data', destroySocket)
     return true
   }
 
   override reuseSocket (socket: Duplex, req: ClientRequest): void {
-    const used = socket as Socket
-    used.removeListener('data', spoilIdle)
-    used.setTimeout(0)
+    const connection = socket as Socket
+    connection.removeListener('data', destroySocket)
+    connection.setTimeout(0)
     super.reuseSocket(socket, req)
   }
 }
 
 export interface Connections {
-  exchange (req: OutboundRequest, sink: AnswerSink): Exchange
-  /** Whether a server accepts connections. */
-  isAlive (address: string): Promise<boolean>
-  /** Drops the idle connections to an address. */
+  exchange (req: OutboundRequest, handler: ResponseHandler): Exchange
+  /** Returns whether a server accepts connections. */
+  isAccepting (address: string): Promise<boolean>
+  /** Closes the idle connections to an address. */
   forget (address: string): void
   close (): void
 }
 
 export function createConnections (clock: Clock): Connections {
-  const agents = new Map<string, CarefulAgent>()
-  // Half open: after the other side's end it must still be possible to ask whether that was a reset.
-  const agentOf = (address: string): CarefulAgent => {
-    const agent = agents.get(address) ?? new CarefulAgent({ keepAlive: true, scheduling: 'lifo', allowHalfOpen: true } as AgentOptions)
+  const agents = new Map<string, KeepAliveAgent>()
+  // Half-open connections allow a write after the server has ended, which shows whether the connection was reset.
+  const agentOf = (address: string): KeepAliveAgent => {
+    const agent = agents.get(address) ?? new KeepAliveAgent({ keepAlive: true, scheduling: 'lifo', allowHalfOpen: true } as AgentOptions)
     agents.set(address, agent)
     return agent
   }
   return {
-    exchange: (req, sink) => runExchange(agentOf(req.address), clock, req, sink),
-    isAlive: address => {
+    exchange: (req, handler) => runExchange(agentOf(req.address), clock, req, handler),
+    isAccepting: address => {
       const { host, port } = parseHostPort(address)
-      return proveAlive(clock, host, port)
+      return checkAccepting(clock, host, port)
     },
     forget: address => {
       const idle = Object.values(agents.get(address)?.freeSockets ?? {}).flatMap(sockets => sockets ?? [])
-      // Only the idle ones: a server that has left the list still finishes what it runs.
+      // Connections in use stay open: a server that has left the list still finishes its requests.
       idle.forEach(socket => socket.destroy())
       agents.delete(address)
     },
@@ -115,56 +118,56 @@
 }
 
 /**
- * Whether a connection that ended was closed by the other side, and not reset. A reset that arrives together with the
- * last bytes reads like a proper end: the system's event loop takes a hang-up after a short read for one. Writing
- * tells them apart: a closed connection still takes bytes, one that was reset does not. An empty line is what a server
- * that should still listen has to ignore.
+ * Returns whether a connection that ended was closed by the server, and not reset. A reset that arrives together with the
+ * last bytes looks like a regular end, since libuv reports a hang-up after a short read as one. A write distinguishes the
+ * two: it succeeds on a closed connection and fails on a reset one. The write is an empty line, which a server that still
+ * reads has to ignore.
  */
-function proveClosed (socket: Socket): Promise<boolean> {
+function checkNotReset (socket: Socket): Promise<boolean> {
   return new Promise(resolve => socket.write('\r\n', err => resolve(err === undefined || err === null)))
 }
 
 /**
- * Whether a server still accepts connections. An answer without length that ends with its connection looks the same
- * whether the server is done or has died in the middle: its system closes what it leaves. A caller would get a part as
- * the whole. One that died refuses a new connection for as long as it takes to start again.
+ * Returns whether a server still accepts connections. A response without length ends with its connection, also when the
+ * server has crashed midway, since its operating system closes the connection; the caller would get part of a response as
+ * the complete one. A crashed server refuses new connections until it has restarted.
  */
-async function proveAlive (clock: Clock, host: string, port: number): Promise<boolean> {
-  return await probeAddress(clock, { host, port }, PROOF_TIMEOUT_MS) === 'accepted'
+async function checkAccepting (clock: Clock, host: string, port: number): Promise<boolean> {
+  return await probeAddress(clock, { host, port }, PROBE_TIMEOUT_MS) === 'accepted'
 }
 
-function runExchange (agent: Agent, clock: Clock, out: OutboundRequest, sink: AnswerSink): Exchange {
-  const { host, port } = parseHostPort(out.address)
+function runExchange (agent: Agent, clock: Clock, outbound: OutboundRequest, handler: ResponseHandler): Exchange {
+  const { host, port } = parseHostPort(outbound.address)
   let isSent = false
   let hasEnded = false
   let failure: string | undefined
   let response: IncomingMessage | undefined
-  let isProving = false
-  const isWholeByLength = (): boolean => response !== undefined && response.complete &&
+  let isVerifying = false
+  const isCompleteByFraming = (): boolean => response !== undefined && response.complete &&
     (response.headers['content-length'] !== undefined || response.headers['transfer-encoding'] !== undefined)
   /**
-   * Without a length only a clean close ends an answer. A reset shows as an error; while the request is still being
-   * written, the write takes the error and the answer seems to end.
+   * A response without length is complete only if the connection was closed without an error. A reset is reported as an
+   * error; while the request is still being written, the write consumes that error and the response appears to end.
    */
   const isClosedCleanly = (): boolean => failure === undefined && (req.socket?.writableLength ?? 0) === 0
-  /** Set when the connection of an answer without length ends: whether it was closed, not reset. */
-  let wasClosed: Promise<boolean> = Promise.resolve(true)
-  const proveWhole = async (): Promise<boolean> => await wasClosed && await proveAlive(clock, host, port)
-  const end = (how: ExchangeEnd, reason: string): void => {
+  /** Set when the connection of a response without length ends: whether it was closed, not reset. */
+  let wasNotReset: Promise<boolean> = Promise.resolve(true)
+  const verifyComplete = async (): Promise<boolean> => await wasNotReset && await checkAccepting(clock, host, port)
+  const finish = (kind: ExchangeEnd, reason: string): void => {
     if (hasEnded) return
     hasEnded = true
-    sink.onEnd(how, reason)
+    handler.onEnd(kind, reason)
   }
-  const hasBody = out.body.length > 0
-  const headers = [...out.headers, ...(hasBody || out.method !== 'GET' ? ['Content-Length', String(out.body.length)] : [])]
-  const req = request({ host, port, agent, method: out.method, path: out.path, headers: headers as never, setHost: false })
+  const hasBody = outbound.body.length > 0
+  const headers = [...outbound.headers, ...(hasBody || outbound.method !== 'GET' ? ['Content-Length', String(outbound.body.length)] : [])]
+  const req = request({ host, port, agent, method: outbound.method, path: outbound.path, headers: headers as never, setHost: false })
   req.on('socket', socket => {
     socket.setNoDelay(true)
     if (!socket.connecting) {
       isSent = true
       return
     }
-    const cancelTimeout = clock.schedule(CONNECT_TIMEOUT_MS, () => socket.destroy(new Error('no connection in time')))
+    const cancelTimeout = clock.schedule(CONNECT_TIMEOUT_MS, () => socket.destroy(new Error('connection timed out')))
     socket.once('connect', () => {
       isSent = true
       cancelTimeout()
@@ -173,32 +176,32 @@
   })
   req.on('error', err => {
     failure = err.message
-    // Bytes after a whole answer spoil the connection, not the answer: its end is told by the answer itself.
-    if (isWholeByLength()) return
-    end(isSent ? 'broken' : 'unsent', err.message)
+    // Bytes after a complete response make the connection unusable but leave the response valid: its framing marks its end.
+    if (isCompleteByFraming()) return
+    finish(isSent ? 'broken' : 'unsent', err.message)
   })
   req.on('response', res => {
     response = res
     const isFramed = res.headers['content-length'] !== undefined || res.headers['transfer-encoding'] !== undefined
-    if (!isFramed) res.socket.prependOnceListener('end', () => { wasClosed = proveClosed(res.socket) })
-    sink.onHead({ status: res.statusCode ?? 0, headers: res.headers, rawHeaders: res.rawHeaders })
-    res.on('data', (chunk: Buffer) => { if (!hasEnded) sink.onData(chunk) })
-    res.on('error', err => end('broken', err.message))
+    if (!isFramed) res.socket.prependOnceListener('end', () => { wasNotReset = checkNotReset(res.socket) })
+    handler.onHead({ status: res.statusCode ?? 0, headers: res.headers, rawHeaders: res.rawHeaders })
+    res.on('data', (chunk: Buffer) => { if (!hasEnded) handler.onData(chunk) })
+    res.on('error', err => finish('broken', err.message))
     res.on('end', () => {
-      if (isWholeByLength()) return end('whole', 'answer ended')
-      if (!res.complete || !isClosedCleanly()) return end('broken', failure ?? 'answer cut')
-      isProving = true
-      proveWhole().then(isWhole => end(isWhole ? 'whole' : 'broken', isWhole ? 'connection closed' : 'connection reset, or server has died'))
+      if (isCompleteByFraming()) return finish('whole', 'response ended')
+      if (!res.complete || !isClosedCleanly()) return finish('broken', failure ?? 'response cut')
+      isVerifying = true
+      verifyComplete().then(isComplete => finish(isComplete ? 'whole' : 'broken', isComplete ? 'connection closed' : 'connection reset, or server has crashed'))
     })
-    res.on('close', () => { if (!isProving) end('broken', failure ?? 'connection closed within the answer') })
+    res.on('close', () => { if (!isVerifying) finish('broken', failure ?? 'connection closed within the response') })
   })
   req.on('close', () => {
-    if (!isWholeByLength() && !isProving) end(isSent ? 'broken' : 'unsent', failure ?? 'connection closed')
+    if (!isCompleteByFraming() && !isVerifying) finish(isSent ? 'broken' : 'unsent', failure ?? 'connection closed')
   })
-  req.end(hasBody ? out.body : undefined)
+  req.end(hasBody ? outbound.body : undefined)
   return {
     cancel: reason => {
-      end(isSent ? 'broken' : 'unsent', reason)
+      finish(isSent ? 'broken' : 'unsent', reason)
       req.destroy()
     }
   }
