--- a/packages/magnoliabay/src/node/serving/requestAdmission.ts
+++ b/packages/magnoliabay/src/node/serving/requestAdmission.ts
@@ -6,9 +6,9 @@
 import type { CallerRequest, Route, Service, Team } from './types'
 
 /** A process that knows no configuration yet learns it within this time, or is replaced. */
-const NO_CONFIG_RETRY_MS = 500
+const NO_CONFIG_RETRY_AFTER_MS = 500
 
-export interface Admitted {
+export interface AdmittedRequest {
   route: Route
   service: Service
   /** Undefined for an anonymous route, or where no keys are in use. */
@@ -19,9 +19,9 @@
 
 const LOWEST_PRIORITY = 9
 
-export function admit (cfg: ServingConfigProvider, host: string, path: string, caller: CallerRequest, random: () => number): Result<Admitted, Refusal> {
+export function admitRequest (cfg: ServingConfigProvider, host: string, path: string, caller: CallerRequest, random: () => number): Result<AdmittedRequest, Refusal> {
   const current = cfg.current()
-  if (current === undefined) return Err({ reason: 'no-config', retryAfterMs: NO_CONFIG_RETRY_MS })
+  if (current === undefined) return Err({ reason: 'no-config', retryAfterMs: NO_CONFIG_RETRY_AFTER_MS })
   const route = cfg.findRoute(host, path)
   if (route === undefined) return Err({ reason: 'no-route' })
   const needsKey = current.teams !== undefined && !route.isAnonymous
@@ -34,10 +34,10 @@
 
 function pickService (route: Route, random: number): string {
   const total = route.services.reduce((sum, share) => sum + share.weight, 0)
-  let left = random * total
+  let remainingWeight = random * total
   const picked = route.services.find(share => {
-    left -= share.weight
-    return left < 0
+    remainingWeight -= share.weight
+    return remainingWeight < 0
   })
   return (picked ?? route.services.at(-1))?.service ?? ''
 }
--- a/packages/magnoliabay/src/node/serving/requestEnd.ts
+++ b/packages/magnoliabay/src/node/serving/requestCompletion.ts
@@ -3,22 +3,22 @@
 import type { ServingContext } from './servingContext'
 import { statusOf } from './refusal'
 import type { Refusal } from './refusal'
-import type { Inbound, Run } from './requestRun'
+import type { Inbound, RequestRun } from './requestRun'
 import type { CallerRequest } from './types'
 
-export interface Endings {
+export interface RequestCompletion {
   /** Ends a request without an answer of a server. `facts` go into the line beside the reason. */
-  refuse (inbound: Inbound, caller: CallerRequest, refusal: Refusal, mayHaveRun: boolean, facts: object): void
+  refuse (inbound: Inbound, caller: CallerRequest, refusal: Refusal, mayHaveRun: boolean, logFields: object): void
   /** Ends a request that was admitted, with the failure that a server answered if there is one. */
-  end (run: Run, refusal: Refusal): void
+  fail (run: RequestRun, refusal: Refusal): void
   /** Notes that an answer of a server was passed on. */
-  logEnd (run: Run, outcome: string): void
+  recordAnswered (run: RequestRun, outcome: string): void
 }
 
-export function createEndings (ctx: ServingContext): Endings {
-  const { allowance, cfg, clock, logger, metrics, wire } = ctx
+export function createRequestCompletion (ctx: ServingContext): RequestCompletion {
+  const { allowance, cfg, clock, logger, metrics, protocol } = ctx
 
-  const refuse: Endings['refuse'] = (inbound, caller, refusal, mayHaveRun, facts) => {
+  const refuse: RequestCompletion['refuse'] = (inbound, caller, refusal, mayHaveRun, logFields) => {
     const { res } = inbound
     const status = statusOf(refusal.reason, mayHaveRun)
     metrics.ended.inc({ reason: refusal.reason })
@@ -30,22 +30,22 @@
       tookMs: Math.round(clock.monotonic() - inbound.arrivedMs),
       retryAfterMs: refusal.retryAfterMs,
       config: cfg.version(),
-      ...facts
+      ...logFields
     })
     if (res.headersSent || res.destroyed) {
       res.destroy()
       return
     }
-    const promise = !mayHaveRun && refusal.retryAfterMs !== undefined
+    const sendsRetryAfter = !mayHaveRun && refusal.retryAfterMs !== undefined
     const body = JSON.stringify({ error: refusal.reason })
     res.writeHead(status, {
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(body),
-      ...(promise ? { 'retry-after': (refusal.retryAfterMs! / 1000).toFixed(3) } : {})
+      ...(sendsRetryAfter ? { 'retry-after': (refusal.retryAfterMs! / 1000).toFixed(3) } : {})
     })
     res.end(body)
   }
-  const factsOf = (run: Run): object => ({
+  const logFieldsOf = (run: RequestRun): object => ({
     route: run.admitted.route.name,
     team: run.admitted.team?.name,
     model: run.caller.model,
@@ -55,21 +55,21 @@
     waitedMs: Math.round(run.waitedMs),
     firstMs: run.firstMs === undefined ? undefined : Math.round(run.firstMs)
   })
-  const end: Endings['end'] = (run, refusal) => {
-    const mayHaveRun = run.trail.state() !== 'untouched'
+  const fail: RequestCompletion['fail'] = (run, refusal) => {
+    const mayHaveRun = run.execution.state() !== 'untouched'
     if (run.unitsTaken > 0 && !mayHaveRun && run.admitted.team !== undefined) allowance.refund(run.admitted.team, run.unitsTaken)
-    if (run.lastAnswer !== undefined && mayHaveRun && !run.inbound.res.headersSent) {
-      sendWhole(run.inbound.res, run.lastAnswer, wire.toCallerHeaders)
-      return logEnd(run, `relayed ${run.lastAnswer.head.status}`)
+    if (run.lastResponse !== undefined && mayHaveRun && !run.inbound.res.headersSent) {
+      sendWhole(run.inbound.res, run.lastResponse, protocol.toCallerHeaders)
+      return recordAnswered(run, `relayed ${run.lastResponse.head.status}`)
     }
-    refuse(run.inbound, run.caller, refusal, mayHaveRun, factsOf(run))
+    refuse(run.inbound, run.caller, refusal, mayHaveRun, logFieldsOf(run))
   }
-  const logEnd: Endings['logEnd'] = (run, outcome) => {
+  const recordAnswered: RequestCompletion['recordAnswered'] = (run, outcome) => {
     const tookMs = clock.monotonic() - run.inbound.arrivedMs
     metrics.ended.inc({ reason: 'answered' })
     metrics.answerSeconds.observe(tookMs / 1000)
-    logger.info('request-ended', { request: run.caller.attemptId, outcome, tookMs: Math.round(tookMs), config: cfg.version(), ...factsOf(run) })
+    logger.info('request-ended', { request: run.caller.attemptId, outcome, tookMs: Math.round(tookMs), config: cfg.version(), ...logFieldsOf(run) })
   }
 
-  return { refuse, end, logEnd }
+  return { refuse, fail, recordAnswered }
 }
--- a/packages/magnoliabay/src/node/serving/requestHandler.ts
+++ b/packages/magnoliabay/src/node/serving/requestHandler.ts
@@ -1,64 +1,64 @@
 /** One request from admission to its end: allowance, a server that can run it, attempts, and what the caller is told. */
 import type { IncomingMessage } from 'node:http'
 import { createExecutionTracker, fingerprintOf } from '../outcomes'
-import { admit, unitsOf } from './requestAdmission'
+import { admitRequest, unitsOf } from './requestAdmission'
 import { startAttempt } from './attempt'
 import type { Attempt, AttemptEnd } from './attempt'
 import { chooseServer } from './chooseServer'
 import type { ServingContext } from './servingContext'
-import { createEndings } from './requestEnd'
+import { createRequestCompletion } from './requestCompletion'
 import { createEventStream } from './eventStream'
 import type { EndReason, Refusal } from './refusal'
-import type { Inbound, Run } from './requestRun'
+import type { Inbound, RequestRun } from './requestRun'
 import { serverProcessId } from './types'
 import type { BackendServer, CallerRequest } from './types'
 
 /** A stream's caller leaves after a gap of the longest of these: two seconds, so many objectives, so many pauses. */
-const CALLER_GAP_MS = 2000
-const CALLER_GAP_OBJECTIVES = 4
-const CALLER_GAP_PAUSES = 8
+const MIN_CALLER_GAP_MS = 2000
+const CALLER_GAP_LATENCY_OBJECTIVES = 4
+const CALLER_GAP_EVENT_GAPS = 8
 /** Room for the answer to reach the caller before it leaves, milliseconds. */
-const PATIENCE_MARGIN_MS = 250
+const RESPONSE_MARGIN_MS = 250
 /** A server that was full has places again after about one service time, milliseconds. */
-const FULL_RETRY_MS = 300
+const SERVER_FULL_RETRY_AFTER_MS = 300
 /** Orders are given again within some seconds; callers come back within a third of their time. */
-const NO_ORDERER_RETRY_MS = 2000
+const NO_LEADER_RETRY_AFTER_MS = 2000
 /** Other instances are there at once. */
-const LEAVING_RETRY_MS = 20
+const LEAVING_RETRY_AFTER_MS = 20
 /** Pause before a cold server is asked for again, and when its callers are told to come back, milliseconds. */
-const COLD_PAUSE_MS = 150
-const COLD_RETRY_MS = 500
+const COLD_SERVER_DELAY_MS = 150
+const COLD_SERVER_RETRY_AFTER_MS = 500
 /** Times that a request goes out again after servers said that they have not run it. */
 const MAX_REJECTIONS = 3
 /** Pause before the same server is asked again, milliseconds. */
-const REJECTED_PAUSE_MS = 40
+const REJECTED_DELAY_MS = 40
 /** How often requests that may run elsewhere look whether their server has fallen silent, milliseconds. */
-const SILENCE_CHECK_MS = 400
-const SERVER_ERROR_FROM = 500
+const SILENCE_CHECK_INTERVAL_MS = 400
+const MIN_SERVER_ERROR_STATUS = 500
 
-export function createServe (ctx: ServingContext): (inbound: Inbound) => Promise<void> {
-  const { cfg, wire, clock, logger, servers, health, table, placement, allowance } = ctx
-  const { refuse, end, logEnd } = createEndings(ctx)
+export function createRequestHandler (ctx: ServingContext): (inbound: Inbound) => Promise<void> {
+  const { cfg, protocol, clock, logger, servers, health, fleetView, placement, allowance } = ctx
+  const { refuse, fail, recordAnswered } = createRequestCompletion(ctx)
   const pathOf = (req: IncomingMessage): string => (req.url ?? '/').split('?')[0]!
 
-  const leftMs = (run: Run): number => run.endMs - clock.monotonic()
-  const patienceMs = (run: Run): number => {
+  const remainingMs = (run: RequestRun): number => run.endMs - clock.monotonic()
+  const maxWaitMs = (run: RequestRun): number => {
     const { route } = run.admitted
-    if (route.kind !== 'stream') return leftMs(run)
-    const gapMs = Math.max(CALLER_GAP_MS, CALLER_GAP_OBJECTIVES * route.latencyObjectiveMs, CALLER_GAP_PAUSES * route.maxEventGapMs)
-    return Math.min(leftMs(run), gapMs - (clock.monotonic() - run.inbound.arrivedMs) - PATIENCE_MARGIN_MS)
+    if (route.kind !== 'stream') return remainingMs(run)
+    const gapMs = Math.max(MIN_CALLER_GAP_MS, CALLER_GAP_LATENCY_OBJECTIVES * route.latencyObjectiveMs, CALLER_GAP_EVENT_GAPS * route.maxEventGapMs)
+    return Math.min(remainingMs(run), gapMs - (clock.monotonic() - run.inbound.arrivedMs) - RESPONSE_MARGIN_MS)
   }
   const modelKey = (caller: CallerRequest): string => caller.model === undefined ? '' : (caller.adapter === undefined ? caller.model : `${caller.model}/${caller.adapter}`)
 
-  const pick = (run: Run, from: readonly BackendServer[]): BackendServer | undefined => {
+  const pickServer = (run: RequestRun, from: readonly BackendServer[]): BackendServer | undefined => {
     const untried = from.filter(server => !run.tried.has(serverProcessId(server)))
-    const fresh = untried.filter(server => !run.rejectedBy.has(serverProcessId(server)))
-    const options = fresh.length > 0 ? fresh : untried
-    const chosen = chooseServer(options.map(server => {
+    const notRejected = untried.filter(server => !run.rejectedBy.has(serverProcessId(server)))
+    const candidates = notRejected.length > 0 ? notRejected : untried
+    const chosen = chooseServer(candidates.map(server => {
       const id = serverProcessId(server)
       return {
         id,
-        load: health.inFlight(id) + table.inFlightElsewhere(id),
+        load: health.inFlight(id) + fleetView.inFlightElsewhere(id),
         slots: server.slots,
         isNear: server.failureDomain === ctx.failureDomain,
         failureRate: health.failureRate(id),
@@ -66,78 +66,78 @@
         isCold: ctx.coldStarts.isCold(server)
       }
     }), ctx.random())
-    return options.find(server => serverProcessId(server) === chosen?.id)
+    return candidates.find(server => serverProcessId(server) === chosen?.id)
   }
   /** The best server that may get the request now: one that is cold may have had enough of them. */
-  const pickAdmitted = async (run: Run, from: readonly BackendServer[]): Promise<BackendServer | undefined> => {
-    const server = pick(run, from)
+  const pickAdmittedServer = async (run: RequestRun, from: readonly BackendServer[]): Promise<BackendServer | undefined> => {
+    const server = pickServer(run, from)
     if (server === undefined || !ctx.coldStarts.isCold(server) || await ctx.coldStarts.admit(server)) return server
-    return await pickAdmitted(run, from.filter(other => other !== server))
+    return await pickAdmittedServer(run, from.filter(other => other !== server))
   }
   /** Waits for a cold server that has had enough in this second, where there is no other. */
-  const choose = async (run: Run, from: readonly BackendServer[]): Promise<BackendServer | Refusal | undefined> => {
+  const waitForServer = async (run: RequestRun, from: readonly BackendServer[]): Promise<BackendServer | Refusal | undefined> => {
     for (;;) {
-      const server = await pickAdmitted(run, from)
-      if (server !== undefined || pick(run, from) === undefined) return server
-      if (run.stop.signal.aborted || patienceMs(run) <= COLD_PAUSE_MS) return { reason: 'server-cold', retryAfterMs: COLD_RETRY_MS }
-      await ctx.pause(COLD_PAUSE_MS)
+      const server = await pickAdmittedServer(run, from)
+      if (server !== undefined || pickServer(run, from) === undefined) return server
+      if (run.stop.signal.aborted || maxWaitMs(run) <= COLD_SERVER_DELAY_MS) return { reason: 'server-cold', retryAfterMs: COLD_SERVER_RETRY_AFTER_MS }
+      await ctx.pause(COLD_SERVER_DELAY_MS)
     }
   }
   /** Finds a server that can run the request, waiting for its model if that makes sense. */
-  const findServer = async (run: Run): Promise<BackendServer | Refusal> => {
+  const findServer = async (run: RequestRun): Promise<BackendServer | Refusal> => {
     const { service } = run.admitted
     const { model, adapter } = run.caller
     if (service.engine === undefined || model === undefined) {
-      return await choose(run, servers.usable(service.name)) ?? { reason: 'no-server', retryAfterMs: FULL_RETRY_MS }
+      return await waitForServer(run, servers.usable(service.name)) ?? { reason: 'no-server', retryAfterMs: SERVER_FULL_RETRY_AFTER_MS }
     }
-    if (!service.engine.models.has(model)) return { reason: 'no-server', retryAfterMs: FULL_RETRY_MS }
-    const ready = await choose(run, placement.serversWithModel(service.name, model, adapter).filter(server => !run.tried.has(serverProcessId(server))))
+    if (!service.engine.models.has(model)) return { reason: 'no-server', retryAfterMs: SERVER_FULL_RETRY_AFTER_MS }
+    const ready = await waitForServer(run, placement.serversWithModel(service.name, model, adapter).filter(server => !run.tried.has(serverProcessId(server))))
     if (ready !== undefined) return ready
-    const sinceMs = clock.monotonic()
-    const awaited = await placement.waitForModel({
+    const startedMs = clock.monotonic()
+    const modelWait = await placement.waitForModel({
       model,
       adapter,
       service: service.name,
-      maxWaitMs: patienceMs(run),
+      maxWaitMs: maxWaitMs(run),
       signal: run.stop.signal,
       isShuttingDown: () => ctx.isClosingFor(run.admitted.route.kind),
       excludedProcesses: run.tried
     })
-    run.waitedMs += clock.monotonic() - sinceMs
-    if (awaited.kind === 'ready') return await choose(run, awaited.servers) ?? { reason: 'no-server', retryAfterMs: FULL_RETRY_MS }
-    if (awaited.kind === 'closing') return { reason: 'leaving', retryAfterMs: LEAVING_RETRY_MS }
-    if (awaited.kind === 'not-in-time') return { reason: 'model-not-in-time', retryAfterMs: awaited.inMs }
-    return { reason: awaited.kind === 'stopped' ? run.why ?? 'caller-gone' : 'no-orderer', retryAfterMs: NO_ORDERER_RETRY_MS }
+    run.waitedMs += clock.monotonic() - startedMs
+    if (modelWait.kind === 'ready') return await waitForServer(run, modelWait.servers) ?? { reason: 'no-server', retryAfterMs: SERVER_FULL_RETRY_AFTER_MS }
+    if (modelWait.kind === 'closing') return { reason: 'leaving', retryAfterMs: LEAVING_RETRY_AFTER_MS }
+    if (modelWait.kind === 'not-in-time') return { reason: 'model-not-in-time', retryAfterMs: modelWait.inMs }
+    return { reason: modelWait.kind === 'stopped' ? run.stopReason ?? 'caller-gone' : 'no-orderer', retryAfterMs: NO_LEADER_RETRY_AFTER_MS }
   }
-  const takeAllowance = async (run: Run): Promise<Refusal | undefined> => {
+  const reserveAllowance = async (run: RequestRun): Promise<Refusal | undefined> => {
     const { team } = run.admitted
     if (team === undefined || run.unitsTaken > 0) return undefined
     const units = unitsOf(team, run.caller)
-    const taken = await allowance.take(team, units)
-    if (taken.waitMs > 0) {
-      logger.info('allowance-refused', { request: run.caller.attemptId, team: team.name, units, decidedBy: taken.decidedBy, waitMs: Math.round(taken.waitMs) })
-      return { reason: 'over-allowance', retryAfterMs: taken.waitMs }
+    const reservation = await allowance.take(team, units)
+    if (reservation.waitMs > 0) {
+      logger.info('allowance-refused', { request: run.caller.attemptId, team: team.name, units, decidedBy: reservation.decidedBy, waitMs: Math.round(reservation.waitMs) })
+      return { reason: 'over-allowance', retryAfterMs: reservation.waitMs }
     }
     run.unitsTaken = units
     return undefined
   }
-  const send = async (run: Run, server: BackendServer): Promise<AttemptEnd> => {
+  const send = async (run: RequestRun, server: BackendServer): Promise<AttemptEnd> => {
     const { inbound, caller, admitted } = run
     const id = serverProcessId(server)
     const model = modelKey(caller)
     run.sends += 1
-    run.runs += 1
+    run.possibleRuns += 1
     run.server = server
-    run.trail.record('send')
+    run.execution.record('send')
     health.noteStart(id, model)
-    if (model !== '' && health.inFlightOf(id, model) === 1) ctx.noteUse()
+    if (model !== '' && health.inFlightOf(id, model) === 1) ctx.onModelUseChanged()
     const attempt = startAttempt({
       connections: ctx.connections,
       server,
       method: inbound.req.method ?? 'GET',
       path: inbound.req.url ?? '/',
-      headers: wire.toBackendHeaders(inbound.req.rawHeaders, {
-        deadlineMs: leftMs(run),
+      headers: protocol.toBackendHeaders(inbound.req.rawHeaders, {
+        deadlineMs: remainingMs(run),
         serverId: server.id,
         team: admitted.team?.name,
         priority: admitted.service.engine === undefined ? undefined : admitted.priority,
@@ -147,11 +147,11 @@
       events: run.events,
       attemptId: caller.attemptId,
       res: inbound.res,
-      decodeAnswer: wire.decodeResponseHead,
-      returnedHeaders: wire.toCallerHeaders,
-      holdsBack: status => status >= SERVER_ERROR_FROM && mayRepeat(run),
+      decodeAnswer: protocol.decodeResponseHead,
+      returnedHeaders: protocol.toCallerHeaders,
+      holdsBack: status => status >= MIN_SERVER_ERROR_STATUS && canRetry(run),
       onHeard: () => {
-        ctx.noteActivity('server')
+        ctx.recordWakeup('server')
         health.noteHeard(id)
       },
       onFirst: () => { run.firstMs ??= clock.monotonic() - inbound.arrivedMs }
@@ -162,146 +162,146 @@
     cancelCheck()
     run.attempt = undefined
     health.noteEnd(id, model)
-    if (model !== '' && health.inFlightOf(id, model) === 0) ctx.noteUse()
-    noteHealth(id, ended)
-    noteCrash(run, server, ended)
+    if (model !== '' && health.inFlightOf(id, model) === 0) ctx.onModelUseChanged()
+    recordHealth(id, ended)
+    updateSuspects(run, server, ended)
     return ended
   }
   /** A request that may go on elsewhere does not wait for a server that says nothing to anybody. */
-  const checkSilence = (run: Run, attempt: Attempt, id: string): () => void => {
+  const checkSilence = (run: RequestRun, attempt: Attempt, id: string): () => void => {
     let cancel = (): void => {}
     const check = (): void => {
-      if (mayRepeat(run) && health.isSilent(id)) return attempt.giveUp('server is silent')
-      cancel = clock.schedule(SILENCE_CHECK_MS, check)
+      if (canRetry(run) && health.isSilent(id)) return attempt.giveUp('server is silent')
+      cancel = clock.schedule(SILENCE_CHECK_INTERVAL_MS, check)
     }
-    if (mayRepeat(run)) cancel = clock.schedule(SILENCE_CHECK_MS, check)
+    if (canRetry(run)) cancel = clock.schedule(SILENCE_CHECK_INTERVAL_MS, check)
     return () => cancel()
   }
   /** A request whose connection broke may have killed its server. */
-  const noteCrash = async (run: Run, server: BackendServer, ended: AttemptEnd): Promise<void> => {
+  const updateSuspects = async (run: RequestRun, server: BackendServer, ended: AttemptEnd): Promise<void> => {
     const { suspects } = ctx
     if (ended.kind === 'relayed' && suspects.assess(run.fingerprint) === 'suspect') return suspects.clear(run.fingerprint)
     const isBroken = ended.kind === 'cut' || (ended.kind === 'failed' && ended.answer === undefined)
     if (isBroken && await suspects.hasCrashed(server.address)) suspects.recordCrash(run.fingerprint, serverProcessId(server))
   }
-  const noteHealth = (id: string, ended: AttemptEnd): void => {
+  const recordHealth = (id: string, ended: AttemptEnd): void => {
     if (ended.kind === 'unsent') return health.noteUnreached(id)
     if (ended.kind === 'failed' || ended.kind === 'cut') return health.noteFailure(id)
     if (ended.kind === 'relayed' || ended.kind === 'rejected') health.noteHeard(id)
   }
   /** Whether the request may run once more, at another server. */
-  const mayRepeat = (run: Run): boolean => {
+  const canRetry = (run: RequestRun): boolean => {
     const { kind, isResumable, maxAttempts } = run.admitted.route
-    return (kind === 'idempotent' || (kind === 'stream' && isResumable)) && run.runs < maxAttempts
+    return (kind === 'idempotent' || (kind === 'stream' && isResumable)) && run.possibleRuns < maxAttempts
   }
-  const retries = (run: Run): boolean => ctx.retryBudget(run.admitted.service.name).tryTake()
+  const tryTakeRetry = (run: RequestRun): boolean => ctx.retryBudget(run.admitted.service.name).tryTake()
 
   /** After an attempt that may have run: another at the next server where that is allowed, else the end. */
-  const repeatOrEnd = (run: Run, reason: EndReason): boolean => {
-    if (mayRepeat(run) && leftMs(run) > 0 && retries(run)) {
+  const retryOrFail = (run: RequestRun, reason: EndReason): boolean => {
+    if (canRetry(run) && remainingMs(run) > 0 && tryTakeRetry(run)) {
       run.events?.resume()
       return true
     }
-    end(run, { reason })
+    fail(run, { reason })
     return false
   }
   /** Returns whether another attempt is to be made; tells the caller where none is. */
-  const conclude = async (run: Run, server: BackendServer, ended: AttemptEnd, rejections: number): Promise<boolean> => {
+  const handleAttemptEnd = async (run: RequestRun, server: BackendServer, ended: AttemptEnd, rejections: number): Promise<boolean> => {
     const id = serverProcessId(server)
     switch (ended.kind) {
       case 'relayed':
-        run.trail.record('lose')
-        logEnd(run, `relayed ${ended.status}`)
+        run.execution.record('lose')
+        recordAnswered(run, `relayed ${ended.status}`)
         return false
       case 'unsent':
-        run.trail.record('disclaim')
-        run.runs -= 1
+        run.execution.record('disclaim')
+        run.possibleRuns -= 1
         run.tried.add(id)
         if (rejections < MAX_REJECTIONS) return true
-        end(run, { reason: 'no-server', retryAfterMs: FULL_RETRY_MS })
+        fail(run, { reason: 'no-server', retryAfterMs: SERVER_FULL_RETRY_AFTER_MS })
         return false
       case 'rejected':
-        run.trail.record('disclaim')
-        run.runs -= 1
+        run.execution.record('disclaim')
+        run.possibleRuns -= 1
         run.rejectedBy.add(id)
         logger.info('attempt-rejected', { request: run.caller.attemptId, server: server.id, status: ended.status, model: run.caller.model })
-        if (rejections >= MAX_REJECTIONS || !retries(run)) {
-          end(run, { reason: rejections >= MAX_REJECTIONS ? 'server-full' : 'retry-budget-spent', retryAfterMs: FULL_RETRY_MS })
+        if (rejections >= MAX_REJECTIONS || !tryTakeRetry(run)) {
+          fail(run, { reason: rejections >= MAX_REJECTIONS ? 'server-full' : 'retry-budget-spent', retryAfterMs: SERVER_FULL_RETRY_AFTER_MS })
           return false
         }
-        await ctx.pause(REJECTED_PAUSE_MS)
+        await ctx.pause(REJECTED_DELAY_MS)
         return true
       case 'failed':
-        run.trail.record('lose')
-        run.lastAnswer = ended.answer ?? run.lastAnswer
-        logger.info('attempt-failed', { request: run.caller.attemptId, server: server.id, reason: ended.reason, repeatable: mayRepeat(run) })
+        run.execution.record('lose')
+        run.lastResponse = ended.answer ?? run.lastResponse
+        logger.info('attempt-failed', { request: run.caller.attemptId, server: server.id, reason: ended.reason, repeatable: canRetry(run) })
         run.tried.add(id)
-        return repeatOrEnd(run, 'server-failed')
+        return retryOrFail(run, 'server-failed')
       case 'cut':
-        run.trail.record('lose')
+        run.execution.record('lose')
         run.tried.add(id)
-        logger.info('attempt-cut', { request: run.caller.attemptId, server: server.id, why: ended.reason, lastEvent: run.events?.lastId(), repeatable: mayRepeat(run) })
-        return repeatOrEnd(run, 'answer-cut')
+        logger.info('attempt-cut', { request: run.caller.attemptId, server: server.id, why: ended.reason, lastEvent: run.events?.lastId(), repeatable: canRetry(run) })
+        return retryOrFail(run, 'answer-cut')
       case 'stopped':
-        run.trail.record('lose')
-        end(run, { reason: run.why ?? 'fault' })
+        run.execution.record('lose')
+        fail(run, { reason: run.stopReason ?? 'fault' })
         return false
     }
   }
-  const runAttempts = async (run: Run): Promise<void> => {
+  const runAttempts = async (run: RequestRun): Promise<void> => {
     for (let rejections = 0; ; rejections += 1) {
       const server = await findServer(run)
-      if (run.stop.signal.aborted) return end(run, { reason: run.why ?? 'fault', retryAfterMs: FULL_RETRY_MS })
-      if ('reason' in server) return end(run, server)
-      const refusal = await takeAllowance(run)
-      if (run.stop.signal.aborted) return end(run, { reason: run.why ?? 'fault', retryAfterMs: FULL_RETRY_MS })
-      if (refusal !== undefined) return end(run, refusal)
+      if (run.stop.signal.aborted) return fail(run, { reason: run.stopReason ?? 'fault', retryAfterMs: SERVER_FULL_RETRY_AFTER_MS })
+      if ('reason' in server) return fail(run, server)
+      const refusal = await reserveAllowance(run)
+      if (run.stop.signal.aborted) return fail(run, { reason: run.stopReason ?? 'fault', retryAfterMs: SERVER_FULL_RETRY_AFTER_MS })
+      if (refusal !== undefined) return fail(run, refusal)
       const ended = await send(run, server)
-      if (!await conclude(run, server, ended, rejections)) return
-      if (run.stop.signal.aborted) return end(run, { reason: run.why ?? 'fault' })
+      if (!await handleAttemptEnd(run, server, ended, rejections)) return
+      if (run.stop.signal.aborted) return fail(run, { reason: run.stopReason ?? 'fault' })
     }
   }
-  const stopRun = (run: Run, why: EndReason): void => {
-    run.why ??= why
+  const stopRun = (run: RequestRun, reason: EndReason): void => {
+    run.stopReason ??= reason
     run.stop.abort()
-    run.attempt?.stop(why)
+    run.attempt?.stop(reason)
   }
 
   return async inbound => {
     const { req, res } = inbound
-    ctx.noteActivity('caller')
-    const caller = wire.decodeCallerRequest(req.headers)
-    const admitted = admit(cfg, hostOf(req), pathOf(req), caller, ctx.random)
+    ctx.recordWakeup('caller')
+    const caller = protocol.decodeCallerRequest(req.headers)
+    const admitted = admitRequest(cfg, hostOf(req), pathOf(req), caller, ctx.random)
     if (admitted.err) return refuse(inbound, caller, admitted.val, false, { path: pathOf(req) })
     const { route, service } = admitted.val
-    if (ctx.isClosingFor(route.kind)) return refuse(inbound, caller, { reason: 'leaving', retryAfterMs: LEAVING_RETRY_MS }, false, { route: route.name })
-    ctx.noteDemand(modelKey(caller))
+    if (ctx.isClosingFor(route.kind)) return refuse(inbound, caller, { reason: 'leaving', retryAfterMs: LEAVING_RETRY_AFTER_MS }, false, { route: route.name })
+    ctx.recordDemand(modelKey(caller))
     ctx.retryBudget(service.name).recordFirstAttempt()
     const fingerprint = fingerprintOf(admitted.val.team?.name ?? '', `${req.method} ${req.url}`, inbound.body)
     if (ctx.suspects.assess(fingerprint) === 'refused') return refuse(inbound, caller, { reason: 'crashes-servers' }, false, { route: route.name, fingerprint })
     const allowedMs = Math.min(route.timeoutMs, caller.deadlineMs ?? Infinity)
-    const run: Run = {
+    const run: RequestRun = {
       inbound,
       caller,
       fingerprint,
       admitted: admitted.val,
-      trail: createExecutionTracker(),
+      execution: createExecutionTracker(),
       endMs: inbound.arrivedMs + allowedMs,
       stop: new AbortController(),
-      why: undefined,
+      stopReason: undefined,
       sends: 0,
-      runs: 0,
+      possibleRuns: 0,
       tried: new Set(),
       rejectedBy: new Set(),
       unitsTaken: 0,
       attempt: undefined,
-      lastAnswer: undefined,
+      lastResponse: undefined,
       server: undefined,
       waitedMs: 0,
       firstMs: undefined,
       events: route.kind === 'stream' ? createEventStream() : undefined
     }
-    const cancelTimeout = clock.schedule(Math.max(0, leftMs(run)), () => stopRun(run, 'route-timeout'))
+    const cancelTimeout = clock.schedule(Math.max(0, remainingMs(run)), () => stopRun(run, 'route-timeout'))
     res.once('close', () => {
       cancelTimeout()
       if (!res.writableFinished) stopRun(run, 'caller-gone')
--- a/packages/magnoliabay/src/node/serving/requestRun.ts
+++ b/packages/magnoliabay/src/node/serving/requestRun.ts
@@ -1,7 +1,7 @@
 /** One request while it is served: what it asks for, where it was sent, and what became of that. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ExecutionTracker } from '../outcomes'
-import type { Admitted } from './requestAdmission'
+import type { AdmittedRequest } from './requestAdmission'
 import type { Attempt, WholeAnswer } from './attempt'
 import type { EventStream } from './eventStream'
 import type { EndReason } from './refusal'
@@ -14,20 +14,20 @@
   arrivedMs: number
 }
 
-export interface Run {
+export interface RequestRun {
   inbound: Inbound
   caller: CallerRequest
   /** The same bytes of the same caller: the same request sent again. */
   fingerprint: string
-  admitted: Admitted
-  trail: ExecutionTracker
+  admitted: AdmittedRequest
+  execution: ExecutionTracker
   /** Monotonic milliseconds by which the request must have ended. */
   endMs: number
   stop: AbortController
-  why: EndReason | undefined
+  stopReason: EndReason | undefined
   sends: number
   /** Servers on which it may have run. */
-  runs: number
+  possibleRuns: number
   /** Servers on which it may have run, or that could not be reached. */
   tried: Set<string>
   /** Servers that said that they have not run it. */
@@ -35,7 +35,7 @@
   unitsTaken: number
   attempt: Attempt | undefined
   /** A failure that a server answered, told if nothing better comes. */
-  lastAnswer: WholeAnswer | undefined
+  lastResponse: WholeAnswer | undefined
   server: BackendServer | undefined
   waitedMs: number
   /** Until the first bytes of an answer went to the caller, milliseconds. */
--- a/packages/magnoliabay/src/node/serving/servingContext.ts
+++ b/packages/magnoliabay/src/node/serving/servingContext.ts
@@ -17,10 +17,10 @@
 
 export interface ServingContext {
   cfg: ServingConfigProvider
-  wire: ServingProtocol
+  protocol: ServingProtocol
   servers: ServerList
   health: ServerHealth
-  table: FleetView
+  fleetView: FleetView
   placement: PlacementClient
   allowance: AllowanceLimiter
   connections: Connections
@@ -30,11 +30,11 @@
   /** The budget for sending requests of a service more than once. */
   retryBudget: (service: string) => RetryBudget
   /** Counts a request for a model. */
-  noteDemand: (model: string) => void
+  recordDemand: (model: string) => void
   /** A model came into use at a server, or out of it: whoever gives orders must know before it unloads anything. */
-  noteUse: () => void
+  onModelUseChanged: () => void
   /** Counts what wakes the process. */
-  noteActivity: WakeupCounter['note']
+  recordWakeup: WakeupCounter['note']
   /** This process ends too soon for a request of that kind to finish. */
   isClosingFor: (kind: RequestKind) => boolean
   metrics: ServingMetrics
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -35,7 +35,7 @@
 import { createPeerLeaseRenewal } from './placement/peerLeaseRenewal'
 import { createPlacementController } from './placement/placementController'
 import { createPlacementClient } from './placement/placementClient'
-import { createServe } from './requestHandler'
+import { createRequestHandler } from './requestHandler'
 import { createServerHealth } from './serverHealth'
 import { createServerList } from './serverList'
 import { createStoreFeeds, watchStore } from './storeWatches'
@@ -312,21 +312,21 @@
     clock,
     logger
   })
-  const serve = createServe({
+  const serve = createRequestHandler({
     suspects,
     cfg,
-    wire,
+    protocol: wire,
     servers,
     health,
-    table,
+    fleetView: table,
     placement,
     allowance,
     connections,
     coldStarts,
     retryBudget,
-    noteDemand,
-    noteUse: table.tellSoon,
-    noteActivity: activity.note,
+    recordDemand: noteDemand,
+    onModelUseChanged: table.tellSoon,
+    recordWakeup: activity.note,
     isClosingFor: kind => clock.monotonic() - leavingSinceMs > lastRequestMs[kind],
     metrics,
     clock,
