--- a/packages/magnoliabay/src/node/serving/dissemination.ts
+++ b/packages/magnoliabay/src/node/serving/dissemination.ts
@@ -178,7 +178,7 @@
     if (reply.err) return logger.info('news-not-heard', { peer: member, reason: reply.val.kind })
     const news = reply.val
     if (news.configVersion > cfg.version()) await fetchConfig(member)
-    news.leavingServers.forEach(servers.noteLeaving)
+    news.leavingServers.forEach(servers.recordLeaving)
     options.evacuations.noteTold(news.evacuation)
     const isPeerBetter = news.storeAgeMs < storeAgeMs()
     if (news.leading !== undefined) options.onLeaderTold(news.leading)
@@ -204,7 +204,7 @@
     },
     noteSummary: (member, summary) => {
       options.onLeaderTold(summary.leading)
-      summary.leavingServers.forEach(servers.noteLeaving)
+      summary.leavingServers.forEach(servers.recordLeaving)
       options.evacuations.noteTold(summary.evacuation)
       noteConfigVersion(member, summary.configVersion)
       if (!options.isFollowing()) return
--- a/packages/magnoliabay/src/node/serving/fleetView.ts
+++ b/packages/magnoliabay/src/node/serving/fleetView.ts
@@ -9,7 +9,7 @@
 import { reportNotice, summaryNotice } from './fleetMessages'
 import type { FleetSummary, InstanceReport, LeadershipTerm, MemberState } from './fleetMessages'
 import { createFleetTotals } from './fleetTotals'
-import { DOUBT_MS } from './serverList'
+import { STORE_RECOVERY_MS } from './serverList'
 import { createUpstream } from './upstream'
 
 /** Time between two reports, for each member, so that the leader's work stays the same in a larger fleet, milliseconds. */
@@ -260,7 +260,7 @@
       const ageMs = clock.monotonic() - held.atMs
       // A leader that has the store back holds removals for a while, since they may be lapses. For one who heard the
       // store all the time that would be too long: it goes by its own watch.
-      if (held.summary.storeSteadyMs + ageMs < DOUBT_MS) return false
+      if (held.summary.storeSteadyMs + ageMs < STORE_RECOVERY_MS) return false
       // Relays are the first to know that the leader has ended, and those below wait for the next one through them.
       if (upstream.isRelayed() && isToldByLeader() && !options.isLinked(held.from)) return false
       return ageMs < Math.max(MIN_FRESH_MS, FRESH_PERIODS * periodMs()) && held.summary.storeAgeMs + ageMs < MAX_LEADER_STORE_AGE_MS
--- a/packages/magnoliabay/src/node/serving/requestHandler.ts
+++ b/packages/magnoliabay/src/node/serving/requestHandler.ts
@@ -129,7 +129,7 @@
     run.possibleRuns += 1
     run.server = server
     run.execution.record('send')
-    health.noteStart(id, model)
+    health.recordStart(id, model)
     if (model !== '' && health.inFlightOf(id, model) === 1) ctx.onModelUseChanged()
     const attempt = startAttempt({
       connections: ctx.connections,
@@ -152,7 +152,7 @@
       holdsBack: status => status >= MIN_SERVER_ERROR_STATUS && canRetry(run),
       onHeard: () => {
         ctx.recordWakeup('server')
-        health.noteHeard(id)
+        health.recordActivity(id)
       },
       onFirst: () => { run.firstMs ??= clock.monotonic() - inbound.arrivedMs }
     })
@@ -161,7 +161,7 @@
     const ended = await attempt.end
     cancelCheck()
     run.attempt = undefined
-    health.noteEnd(id, model)
+    health.recordEnd(id, model)
     if (model !== '' && health.inFlightOf(id, model) === 0) ctx.onModelUseChanged()
     recordHealth(id, ended)
     updateSuspects(run, server, ended)
@@ -185,9 +185,9 @@
     if (isBroken && await suspects.hasCrashed(server.address)) suspects.recordCrash(run.fingerprint, serverProcessId(server))
   }
   const recordHealth = (id: string, ended: AttemptEnd): void => {
-    if (ended.kind === 'unsent') return health.noteUnreached(id)
-    if (ended.kind === 'failed' || ended.kind === 'cut') return health.noteFailure(id)
-    if (ended.kind === 'relayed' || ended.kind === 'rejected') health.noteHeard(id)
+    if (ended.kind === 'unsent') return health.recordUnreachable(id)
+    if (ended.kind === 'failed' || ended.kind === 'cut') return health.recordFailure(id)
+    if (ended.kind === 'relayed' || ended.kind === 'rejected') health.recordActivity(id)
   }
   /** Whether the request may run once more, at another server. */
   const canRetry = (run: RequestRun): boolean => {
--- a/packages/magnoliabay/src/node/serving/serverHealth.ts
+++ b/packages/magnoliabay/src/node/serving/serverHealth.ts
@@ -5,19 +5,19 @@
 import { addCount } from '../utils'
 
 /** Failures fade within a few seconds, so that a server that recovered is used again. */
-const FADE_MS = 4000
+const FAILURE_DECAY_MS = 4000
 /** A server that has brought nothing for this long, though it has requests, is not given more. */
-const SILENT_MS = 1500
+const SILENCE_TIMEOUT_MS = 1500
 /** A server to which no connection could be made, or that fell silent, is left alone for this long. */
-const LEFT_ALONE_MS = 2500
+const UNREACHABLE_AVOIDANCE_MS = 2500
 
 export interface ServerHealth {
-  noteStart (server: string, model: string): void
-  noteEnd (server: string, model: string): void
+  recordStart (server: string, model: string): void
+  recordEnd (server: string, model: string): void
   /** Anything came from the server. */
-  noteHeard (server: string): void
-  noteFailure (server: string): void
-  noteUnreached (server: string): void
+  recordActivity (server: string): void
+  recordFailure (server: string): void
+  recordUnreachable (server: string): void
   inFlight (server: string): number
   inFlightOf (server: string, model: string): number
   inFlightByModel (): ReadonlyArray<{ server: string, model: string, count: number }>
@@ -27,46 +27,46 @@
   forget (server: string): void
 }
 
-interface Seen {
+interface ServerObservations {
   models: Map<string, number>
   failures: DecayingRate
-  heardMs: number
-  unreachedUntilMs: number
+  lastActivityMs: number
+  avoidedUntilMs: number
 }
 
 export function createServerHealth (clock: Clock): ServerHealth {
-  const seen = new Map<string, Seen>()
-  const of = (server: string): Seen => {
-    const found = seen.get(server) ?? { models: new Map(), failures: createDecayingRate(FADE_MS), heardMs: clock.monotonic(), unreachedUntilMs: 0 }
-    seen.set(server, found)
+  const observations = new Map<string, ServerObservations>()
+  const observationsOf = (server: string): ServerObservations => {
+    const found = observations.get(server) ?? { models: new Map(), failures: createDecayingRate(FAILURE_DECAY_MS), lastActivityMs: clock.monotonic(), avoidedUntilMs: 0 }
+    observations.set(server, found)
     return found
   }
-  const count = (server: string): number => [...seen.get(server)?.models.values() ?? []].reduce((sum, each) => sum + each, 0)
-  const add = (server: string, model: string, change: number): void => addCount(of(server).models, model, change)
+  const inFlightCount = (server: string): number => [...observations.get(server)?.models.values() ?? []].reduce((sum, each) => sum + each, 0)
+  const addInFlight = (server: string, model: string, change: number): void => addCount(observationsOf(server).models, model, change)
   return {
-    noteStart: (server, model) => {
+    recordStart: (server, model) => {
       // Silence counts from the first request on: an idle server has nothing to say.
-      if (count(server) === 0) of(server).heardMs = clock.monotonic()
-      add(server, model, 1)
+      if (inFlightCount(server) === 0) observationsOf(server).lastActivityMs = clock.monotonic()
+      addInFlight(server, model, 1)
     },
-    noteEnd: (server, model) => add(server, model, -1),
-    noteHeard: server => {
-      of(server).heardMs = clock.monotonic()
-      of(server).unreachedUntilMs = 0
+    recordEnd: (server, model) => addInFlight(server, model, -1),
+    recordActivity: server => {
+      observationsOf(server).lastActivityMs = clock.monotonic()
+      observationsOf(server).avoidedUntilMs = 0
     },
-    noteFailure: server => of(server).failures.add(1, clock.monotonic()),
-    noteUnreached: server => { of(server).unreachedUntilMs = clock.monotonic() + LEFT_ALONE_MS },
-    inFlight: count,
-    inFlightOf: (server, model) => seen.get(server)?.models.get(model) ?? 0,
-    inFlightByModel: () => [...seen].flatMap(([server, { models }]) => [...models].map(([model, each]) => ({ server, model, count: each }))),
-    failureRate: server => seen.get(server)?.failures.read(clock.monotonic()) ?? 0,
+    recordFailure: server => observationsOf(server).failures.add(1, clock.monotonic()),
+    recordUnreachable: server => { observationsOf(server).avoidedUntilMs = clock.monotonic() + UNREACHABLE_AVOIDANCE_MS },
+    inFlight: inFlightCount,
+    inFlightOf: (server, model) => observations.get(server)?.models.get(model) ?? 0,
+    inFlightByModel: () => [...observations].flatMap(([server, { models }]) => [...models].map(([model, each]) => ({ server, model, count: each }))),
+    failureRate: server => observations.get(server)?.failures.read(clock.monotonic()) ?? 0,
     isSilent: server => {
-      const found = seen.get(server)
+      const found = observations.get(server)
       if (found === undefined) return false
       const now = clock.monotonic()
-      if (count(server) > 0 && now - found.heardMs > SILENT_MS) found.unreachedUntilMs = now + LEFT_ALONE_MS
-      return found.unreachedUntilMs > now
+      if (inFlightCount(server) > 0 && now - found.lastActivityMs > SILENCE_TIMEOUT_MS) found.avoidedUntilMs = now + UNREACHABLE_AVOIDANCE_MS
+      return found.avoidedUntilMs > now
     },
-    forget: server => { seen.delete(server) }
+    forget: server => { observations.delete(server) }
   }
 }
--- a/packages/magnoliabay/src/node/serving/servingConfigProvider.ts
+++ b/packages/magnoliabay/src/node/serving/servingConfigProvider.ts
@@ -38,11 +38,11 @@
   let index = EMPTY
 
   /** Tells of teams whose rate, burst or number of keys is new: a key that was taken away shows nowhere else. */
-  const noteAllowances = (next: ServingConfig): void => {
-    const sizeOf = (team: Team): string => `${team.rate} ${team.burst} ${team.keys.length}`
-    const before = new Map(current?.teams?.map(team => [team.name, sizeOf(team)]))
+  const logAllowanceChanges = (next: ServingConfig): void => {
+    const allowanceOf = (team: Team): string => `${team.rate} ${team.burst} ${team.keys.length}`
+    const before = new Map(current?.teams?.map(team => [team.name, allowanceOf(team)]))
     next.teams
-      ?.filter(team => before.get(team.name) !== sizeOf(team))
+      ?.filter(team => before.get(team.name) !== allowanceOf(team))
       .forEach(team => logger.info('allowance-set', { version: next.version, team: team.name, rate: team.rate, burst: team.burst, unit: team.unit, keys: team.keys.length }))
   }
   return {
@@ -58,7 +58,7 @@
       // A late answer or a peer that lags must not bring a withdrawn key or a removed route back.
       if (next.version <= (current?.version ?? 0)) return false
       logger.info('config-in-force', { version: next.version, before: current?.version, source, routes: next.routes.length, teams: next.teams?.length, atMs: Math.round(clock.monotonic()) })
-      noteAllowances(next)
+      logAllowanceChanges(next)
       current = next
       currentText = text
       index = indexOf(next)
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -228,7 +228,7 @@
       membersDigest: membership.digest()
     }),
     onReport: (member, report) => {
-      report.leavingServers.forEach(servers.noteLeaving)
+      report.leavingServers.forEach(servers.recordLeaving)
       allowance.notePeerSpending(member.incarnation, report.spent)
     },
     onSummary: (member, summary) => {
@@ -341,7 +341,7 @@
     res.end(await metrics.registry.metrics())
   }).handler as never)
 
-  evacuations.onChanged(servers.noteChanged)
+  evacuations.onChanged(servers.notifyChanged)
   cfg.onChanged(() => {
     metrics.configVersion.set(cfg.version())
     door.setLimits(cfg.current()!.limits)
--- a/packages/magnoliabay/src/node/serving/storeProxy.ts
+++ b/packages/magnoliabay/src/node/serving/storeProxy.ts
@@ -9,7 +9,7 @@
 import type { Logger } from '../logger'
 import { definePeerCall } from '../members'
 import type { Peers } from '../members'
-import { DOUBT_MS } from './serverList'
+import { STORE_RECOVERY_MS } from './serverList'
 
 /** How an instance hears the store. */
 export interface StoreContact {
@@ -81,7 +81,7 @@
     const passedMs = clock.monotonic() - atMs
     return { ageMs: sight.ageMs + passedMs, steadyMs: sight.steadyMs + passedMs }
   }
-  const isWanting = (): boolean => isLeading() && (own().ageMs > LOST_MS || own().steadyMs < DOUBT_MS)
+  const isWanting = (): boolean => isLeading() && (own().ageMs > LOST_MS || own().steadyMs < STORE_RECOVERY_MS)
   const give = (member: string, reason: string): void => {
     avoidedUntilMs.set(member, clock.monotonic() + AVOID_MS)
     if (proxy?.member !== member) return
@@ -110,9 +110,9 @@
   return {
     sight: () => {
       const direct = own()
-      if (proxy === undefined || (direct.ageMs <= LOST_MS && direct.steadyMs >= DOUBT_MS)) return direct
+      if (proxy === undefined || (direct.ageMs <= LOST_MS && direct.steadyMs >= STORE_RECOVERY_MS)) return direct
       const byProxy = sightOf(proxy)
-      return byProxy.ageMs < direct.ageMs || direct.steadyMs < DOUBT_MS ? byProxy : direct
+      return byProxy.ageMs < direct.ageMs || direct.steadyMs < STORE_RECOVERY_MS ? byProxy : direct
     },
     current: () => proxy?.member,
     clients,
