--- a/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
@@ -21,9 +21,9 @@
 import { createServerList } from '../../serverList'
 import type { ServerList } from '../../serverList'
 import { createSpread } from '../../dissemination'
-import { createStoreFeeds, watchStore } from '../../storeWatches'
+import { createPrefixWatches, watchStore } from '../../storeWatches'
 import { createStoreProxy } from '../../storeProxy'
-import { createStoreTurn } from '../../storeReadPolicy'
+import { createStoreReadPolicy } from '../../storeReadPolicy'
 import type { BackendServer } from '../../types'
 import { configOf, memberRecord, reportOf, serverOf } from '../fixtures'
 
@@ -203,7 +203,7 @@
       spentWithBelow: () => [],
       leading: () => leadership.ownClaim(),
       latestClaim: () => leadership.latestClaimRevision(),
-      summary: () => ({ configVersion: cfg.version(), storeAgeMs: proxy.sight().ageMs, storeSteadyMs: proxy.sight().steadyMs, spent: [], evacuation: evacuations.state(), listDigest: servers.digest(), membersDigest: membership.digest() }),
+      summary: () => ({ configVersion: cfg.version(), storeAgeMs: proxy.contact().ageMs, storeSteadyMs: proxy.contact().steadyMs, spent: [], evacuation: evacuations.state(), listDigest: servers.digest(), membersDigest: membership.digest() }),
       beforeSummary: () => spread.tellChanges(),
       onReport: () => {},
       onSummary: (member, summary) => spread.noteSummary(member.id, summary)
@@ -225,7 +225,7 @@
       logger,
       random
     })
-    const proxy = createStoreProxy({ peers, isLeading: leadership.isLeaseHolder, own: () => ({ ageMs: storeAgeMs(), steadyMs: steadyMs() }), candidates: table.peersWithStoreAccess, onProxied: member => spread.noteProxy(member), clock: own, logger })
+    const proxy = createStoreProxy({ peers, isLeading: leadership.isLeaseHolder, ownContact: () => ({ ageMs: storeAgeMs(), steadyMs: steadyMs() }), candidates: table.peersWithStoreAccess, onProxyAnswered: member => spread.noteProxy(member), clock: own, logger })
     const spread = createSpread({
       peers,
       cfg,
@@ -245,13 +245,13 @@
       random
     })
     const isProxy = (): boolean => proxy.clients().length > 0
-    const turn = createStoreTurn({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => known.length, clock: own, logger, random })
-    const feeds = { store, wire: { keys: { operator: OPERATOR, config: CONFIG, evacuations: EVACUATIONS, servers: SERVERS } }, cfg, evacuations, servers, memberCount: () => known.length, isOwnTurn: turn.isOwn, isProxy, isOrdering: () => false }
+    const turn = createStoreReadPolicy({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => known.length, clock: own, logger, random })
+    const feeds = { store, protocol: { keys: { operator: OPERATOR, config: CONFIG, evacuations: EVACUATIONS, servers: SERVERS } }, cfg, evacuations, servers, memberCount: () => known.length, readsStore: turn.readsStore, isProxy, hasPendingOrders: () => false }
     instances.set(id, { record, cfg, servers, table, leadership, faults, stop, calls: 0, messages: 0, wakeUpTimes: new Set(), inFlight })
     watchStore(feeds, stop.signal)
     membership.start(stop.signal)
     leadership.start(stop.signal)
-    runPrefixWatches({ client: calls, connectivity: reach, clock: own, logger }, createStoreFeeds(feeds), stop.signal)
+    runPrefixWatches({ client: calls, connectivity: reach, clock: own, logger }, createPrefixWatches(feeds), stop.signal)
     table.start(stop.signal)
     spread.start(stop.signal)
     proxy.start(stop.signal)
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -38,10 +38,10 @@
 import { createRequestHandler } from './requestHandler'
 import { createServerHealth } from './serverHealth'
 import { createServerList } from './serverList'
-import { createStoreFeeds, watchStore } from './storeWatches'
-import type { StoreFeedsOptions } from './storeWatches'
+import { createPrefixWatches, watchStore } from './storeWatches'
+import type { StoreWatchOptions } from './storeWatches'
 import { createStoreProxy } from './storeProxy'
-import { createStoreTurn } from './storeReadPolicy'
+import { createStoreReadPolicy } from './storeReadPolicy'
 import { createSpread } from './dissemination'
 import { serverProcessId } from './types'
 import type { RequestKind } from './types'
@@ -220,8 +220,8 @@
     beforeSummary: () => spread.tellChanges(),
     summary: () => ({
       configVersion: cfg.version(),
-      storeAgeMs: Math.round(proxy.sight().ageMs),
-      storeSteadyMs: proxy.sight().steadyMs,
+      storeAgeMs: Math.round(proxy.contact().ageMs),
+      storeSteadyMs: proxy.contact().steadyMs,
       spent: allowance.fleetSpending(),
       evacuation: evacuations.state(),
       listDigest: servers.digest(),
@@ -239,9 +239,9 @@
   const proxy = createStoreProxy({
     peers,
     isLeading: () => leadership.isLeaseHolder(),
-    own: () => ({ ageMs: storeAgeMs(), steadyMs: clock.monotonic() - store.reachableSinceMs() }),
+    ownContact: () => ({ ageMs: storeAgeMs(), steadyMs: clock.monotonic() - store.reachableSinceMs() }),
     candidates: table.peersWithStoreAccess,
-    onProxied: member => spread.noteProxy(member),
+    onProxyAnswered: member => spread.noteProxy(member),
     clock,
     logger
   })
@@ -348,8 +348,8 @@
   })
   forgetGoneServers({ servers, health, connections, engines: options.engines })
   const isProxy = (): boolean => proxy.clients().length > 0
-  const turn = createStoreTurn({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => peers.members().length, clock, logger, random })
-  const feeds: StoreFeedsOptions = { store, wire, cfg, evacuations, servers, memberCount: () => peers.members().length, isOwnTurn: turn.isOwn, isProxy, isOrdering: orderer.hasPendingOrders }
+  const turn = createStoreReadPolicy({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => peers.members().length, clock, logger, random })
+  const feeds: StoreWatchOptions = { store, protocol: wire, cfg, evacuations, servers, memberCount: () => peers.members().length, readsStore: turn.readsStore, isProxy, hasPendingOrders: orderer.hasPendingOrders }
   const isLonely = (): boolean => cfg.version() === 0 || !servers.isKnown() || peers.members().length < 2
 
   return {
@@ -366,7 +366,7 @@
       membership.start(stop.signal)
       leadership.start(stop.signal)
       orderer.start(stop.signal)
-      store.start(stop.signal, createStoreFeeds(feeds))
+      store.start(stop.signal, createPrefixWatches(feeds))
       table.start(stop.signal)
       spread.start(stop.signal)
       proxy.start(stop.signal)
--- a/packages/magnoliabay/src/node/serving/storeProxy.ts
+++ b/packages/magnoliabay/src/node/serving/storeProxy.ts
@@ -22,34 +22,34 @@
 const watchCall = definePeerCall<Record<string, never>, StoreContact>('serving.watch-for-me')
 
 /** How often a proxy is asked, and says how it hears the store, milliseconds. */
-const ASK_PERIOD_MS = 250
+const ASK_INTERVAL_MS = 250
 const ASK_TIMEOUT_MS = 300
 /** How often one who does not lead looks whether it does, milliseconds. */
-const LOOK_PERIOD_MS = 1000
+const LEADERSHIP_CHECK_INTERVAL_MS = 1000
 /** A leader that has not heard the store for this long asks for a proxy, milliseconds: well before those who follow give it up. */
-const LOST_MS = 800
+const MAX_OWN_STORE_AGE_MS = 800
 /** A proxy that has heard nothing of the store for this long is of no use, milliseconds. */
-const MAX_PROXY_AGE_MS = 1500
+const MAX_PROXY_STORE_AGE_MS = 1500
 /** One that was of no use is not asked again for this long, milliseconds. */
-const AVOID_MS = 3000
+const PROXY_AVOIDANCE_MS = 3000
 /** Whoever is not asked any more watches no longer, milliseconds. */
-const ASKED_KEPT_MS = 1500
+const CLIENT_TTL_MS = 1500
 
 export interface StoreProxyOptions {
   peers: Peers
   isLeading: () => boolean
-  own: () => StoreContact
+  ownContact: () => StoreContact
   /** Peers that may reach the store, the likeliest first. */
   candidates: () => readonly string[]
   /** A proxy is there: what it knows is to be fetched. */
-  onProxied: (member: string) => void
+  onProxyAnswered: (member: string) => void
   clock: Clock
   logger: Logger
 }
 
 export interface StoreProxy {
   /** How the store is heard, by this instance itself or by its proxy. */
-  sight (): StoreContact
+  contact (): StoreContact
   /** Who watches for this instance. */
   current (): string | undefined
   /** For whom this instance watches. */
@@ -57,39 +57,39 @@
   start (signal: AbortSignal): void
 }
 
-interface Proxy {
+interface ActiveProxy {
   member: string
-  sight: StoreContact
-  atMs: number
+  contact: StoreContact
+  askedAtMs: number
 }
 
-export function createStoreProxy ({ peers, isLeading, own, candidates, onProxied, clock, logger }: StoreProxyOptions): StoreProxy {
-  const askedMs = new Map<string, number>()
+export function createStoreProxy ({ peers, isLeading, ownContact, candidates, onProxyAnswered, clock, logger }: StoreProxyOptions): StoreProxy {
+  const clientAskedMs = new Map<string, number>()
   const avoidedUntilMs = new Map<string, number>()
-  let proxy: Proxy | undefined
+  let proxy: ActiveProxy | undefined
 
   peers.serve(watchCall, (_req, from) => {
-    askedMs.set(from.id, clock.monotonic())
-    return own()
+    clientAskedMs.set(from.id, clock.monotonic())
+    return ownContact()
   })
   const clients = (): string[] => {
-    askedMs.forEach((atMs, member) => { if (clock.monotonic() - atMs > ASKED_KEPT_MS) askedMs.delete(member) })
-    return [...askedMs.keys()]
+    clientAskedMs.forEach((atMs, member) => { if (clock.monotonic() - atMs > CLIENT_TTL_MS) clientAskedMs.delete(member) })
+    return [...clientAskedMs.keys()]
   }
   /** One that has just begun to watch has an answer within a call or two. */
-  const sightOf = ({ sight, atMs }: Proxy): StoreContact => {
-    const passedMs = clock.monotonic() - atMs
-    return { ageMs: sight.ageMs + passedMs, steadyMs: sight.steadyMs + passedMs }
+  const contactOf = ({ contact, askedAtMs }: ActiveProxy): StoreContact => {
+    const passedMs = clock.monotonic() - askedAtMs
+    return { ageMs: contact.ageMs + passedMs, steadyMs: contact.steadyMs + passedMs }
   }
-  const isWanting = (): boolean => isLeading() && (own().ageMs > LOST_MS || own().steadyMs < STORE_RECOVERY_MS)
-  const give = (member: string, reason: string): void => {
-    avoidedUntilMs.set(member, clock.monotonic() + AVOID_MS)
+  const needsProxy = (): boolean => isLeading() && (ownContact().ageMs > MAX_OWN_STORE_AGE_MS || ownContact().steadyMs < STORE_RECOVERY_MS)
+  const giveUp = (member: string, reason: string): void => {
+    avoidedUntilMs.set(member, clock.monotonic() + PROXY_AVOIDANCE_MS)
     if (proxy?.member !== member) return
     logger.info('store-proxy-lost', { peer: member, reason })
     proxy = undefined
   }
   const ask = async (): Promise<void> => {
-    if (!isWanting()) {
+    if (!needsProxy()) {
       proxy = undefined
       return
     }
@@ -97,21 +97,21 @@
     if (member === undefined) return
     const sentMs = clock.monotonic()
     const reply = await peers.call(member, watchCall, {}, { timeoutMs: ASK_TIMEOUT_MS })
-    if (reply.err) return give(member, reply.val.kind)
+    if (reply.err) return giveUp(member, reply.val.kind)
     const isNew = proxy === undefined
     // Its first answer may be of before it began to watch; one that knows itself turned away says so at once.
-    const isDeaf = reply.val.steadyMs < 0 || (!isNew && reply.val.ageMs > MAX_PROXY_AGE_MS)
-    if (isDeaf) return give(member, 'does not hear the store')
-    if (isNew) logger.info('store-proxy', { peer: member, itsAgeMs: Math.round(reply.val.ageMs), ownAgeMs: Math.round(own().ageMs) })
-    proxy = { member, sight: reply.val, atMs: sentMs }
-    onProxied(member)
+    const lacksStoreContact = reply.val.steadyMs < 0 || (!isNew && reply.val.ageMs > MAX_PROXY_STORE_AGE_MS)
+    if (lacksStoreContact) return giveUp(member, 'does not hear the store')
+    if (isNew) logger.info('store-proxy', { peer: member, itsAgeMs: Math.round(reply.val.ageMs), ownAgeMs: Math.round(ownContact().ageMs) })
+    proxy = { member, contact: reply.val, askedAtMs: sentMs }
+    onProxyAnswered(member)
   }
 
   return {
-    sight: () => {
-      const direct = own()
-      if (proxy === undefined || (direct.ageMs <= LOST_MS && direct.steadyMs >= STORE_RECOVERY_MS)) return direct
-      const byProxy = sightOf(proxy)
+    contact: () => {
+      const direct = ownContact()
+      if (proxy === undefined || (direct.ageMs <= MAX_OWN_STORE_AGE_MS && direct.steadyMs >= STORE_RECOVERY_MS)) return direct
+      const byProxy = contactOf(proxy)
       return byProxy.ageMs < direct.ageMs || direct.steadyMs < STORE_RECOVERY_MS ? byProxy : direct
     },
     current: () => proxy?.member,
@@ -119,7 +119,7 @@
     start: async signal => {
       while (!signal.aborted) {
         await ask()
-        await sleep(clock, delayToNextPeriod(clock, isLeading() ? ASK_PERIOD_MS : LOOK_PERIOD_MS), signal)
+        await sleep(clock, delayToNextPeriod(clock, isLeading() ? ASK_INTERVAL_MS : LEADERSHIP_CHECK_INTERVAL_MS), signal)
       }
     }
   }
--- a/packages/magnoliabay/src/node/serving/storeReadPolicy.ts
+++ b/packages/magnoliabay/src/node/serving/storeReadPolicy.ts
@@ -7,12 +7,12 @@
 import type { Logger } from '../logger'
 
 /** After its start an instance waits this long for a peer to tell it, milliseconds. */
-const START_PATIENCE_MS = 1000
+const START_DELAY_MS = 1000
 /** Spread over members, milliseconds for each and at most: withdrawn keys must be known in time. */
-const SPREAD_PER_MEMBER_MS = 5
-const MAX_SPREAD_MS = 1000
+const DELAY_PER_MEMBER_MS = 5
+const MAX_RANDOM_DELAY_MS = 1000
 
-export interface StoreTurnOptions {
+export interface StoreReadPolicyOptions {
   isLeading: () => boolean
   /** A leader out of the store's reach has asked this instance to watch for it. */
   isProxy: () => boolean
@@ -25,32 +25,32 @@
   random: () => number
 }
 
-export interface StoreTurn {
-  isOwn (): boolean
+export interface StoreReadPolicy {
+  readsStore (): boolean
 }
 
 /** Who tells an instance what changes in the store. */
 type Source = 'store, as leader' | 'store, for the leader' | 'store' | 'peer' | 'nobody'
 
-export function createStoreTurn ({ isLeading, isProxy, isFollowing, memberCount, clock, logger, random }: StoreTurnOptions): StoreTurn {
-  const spreadMs = (): number => random() * Math.min(MAX_SPREAD_MS, memberCount() * SPREAD_PER_MEMBER_MS)
+export function createStoreReadPolicy ({ isLeading, isProxy, isFollowing, memberCount, clock, logger, random }: StoreReadPolicyOptions): StoreReadPolicy {
+  const randomDelayMs = (): number => random() * Math.min(MAX_RANDOM_DELAY_MS, memberCount() * DELAY_PER_MEMBER_MS)
   /** From when on this instance asks itself; undefined while it is told. */
-  let fromMs: number | undefined = clock.monotonic() + START_PATIENCE_MS + spreadMs()
+  let readFromMs: number | undefined = clock.monotonic() + START_DELAY_MS + randomDelayMs()
   let source: Source = 'nobody'
 
-  const sourceNow = (): Source => {
+  const currentSource = (): Source => {
     if (isLeading()) return 'store, as leader'
     if (isProxy()) return 'store, for the leader'
     if (isFollowing()) {
-      fromMs = undefined
+      readFromMs = undefined
       return 'peer'
     }
-    fromMs ??= clock.monotonic() + spreadMs()
-    return clock.monotonic() >= fromMs ? 'store' : 'nobody'
+    readFromMs ??= clock.monotonic() + randomDelayMs()
+    return clock.monotonic() >= readFromMs ? 'store' : 'nobody'
   }
   return {
-    isOwn: () => {
-      const next = sourceNow()
+    readsStore: () => {
+      const next = currentSource()
       if (next !== source) logger.info('store-source', { source: next, before: source })
       source = next
       return next !== 'peer' && next !== 'nobody'
--- a/packages/magnoliabay/src/node/serving/storeWatches.ts
+++ b/packages/magnoliabay/src/node/serving/storeWatches.ts
@@ -21,50 +21,50 @@
  * change in series; of servers, for one who follows nobody; and of servers for the leader, to whom the end of an
  * order tells that the next one may be sent.
  */
-const GATHER_PER_MEMBER_MS = 15
-const MIN_GATHER_MS = 150
-const MAX_GATHER_MS = 1000
-const GATHER_SERVERS_MS = 300
-const GATHER_ORDERS_MS = 10
-export interface StoreFeedsOptions {
+const BATCH_DELAY_PER_MEMBER_MS = 15
+const MIN_BATCH_DELAY_MS = 150
+const MAX_BATCH_DELAY_MS = 1000
+const SERVERS_BATCH_DELAY_MS = 300
+const PENDING_ORDERS_BATCH_DELAY_MS = 10
+export interface StoreWatchOptions {
   store: Pick<Store, 'watch'>
-  wire: Pick<ServingProtocol, 'keys'>
+  protocol: Pick<ServingProtocol, 'keys'>
   cfg: ServingConfigProvider
   evacuations: Evacuations
   servers: ServerList
   memberCount: () => number
   /** Whether this instance is to ask the store itself; members and leader are read once in any case. */
-  isOwnTurn: () => boolean
+  readsStore: () => boolean
   /** This instance watches for a leader out of the store's reach. */
   isProxy: () => boolean
   /** The end of an order is awaited. */
-  isOrdering: () => boolean
+  hasPendingOrders: () => boolean
 }
 
 /** Passes on what the store tells of configuration, evacuations and servers. */
-export function watchStore ({ store, wire, cfg, evacuations, servers }: StoreFeedsOptions, signal: AbortSignal): void {
-  store.watch(wire.keys.config, {
-    onSnapshot: ({ entries }) => entries.filter(entry => entry.key === wire.keys.config).forEach(entry => cfg.applyIfNewer(entry.value, 'store')),
-    onEvent: event => { if (event.kind === 'put' && event.key === wire.keys.config) cfg.applyIfNewer(event.value, 'store') }
+export function watchStore ({ store, protocol, cfg, evacuations, servers }: StoreWatchOptions, signal: AbortSignal): void {
+  store.watch(protocol.keys.config, {
+    onSnapshot: ({ entries }) => entries.filter(entry => entry.key === protocol.keys.config).forEach(entry => cfg.applyIfNewer(entry.value, 'store')),
+    onEvent: event => { if (event.kind === 'put' && event.key === protocol.keys.config) cfg.applyIfNewer(event.value, 'store') }
   }, signal)
-  const domainOf = (key: string): string => key.slice(wire.keys.evacuations.length)
-  store.watch(wire.keys.evacuations, {
+  const domainOf = (key: string): string => key.slice(protocol.keys.evacuations.length)
+  store.watch(protocol.keys.evacuations, {
     onSnapshot: ({ entries, revision }) => evacuations.snapshot(entries.map(entry => domainOf(entry.key)), revision),
     onEvent: ({ kind, key, modRevision }) => kind === 'put' ? evacuations.begin(domainOf(key), modRevision) : evacuations.end(domainOf(key), modRevision)
   }, signal)
-  store.watch(wire.keys.servers, {
+  store.watch(protocol.keys.servers, {
     onSnapshot: ({ entries }) => servers.snapshot(entries),
     onEvent: event => event.kind === 'put' ? servers.put(event) : servers.remove(event.key)
   }, signal)
 }
 
 /** One watching call for each; servers' entries change with each beat of each server. */
-export function createStoreFeeds ({ wire, memberCount, isOwnTurn, isProxy, isOrdering }: StoreFeedsOptions): PrefixWatch[] {
-  const waitMs = (otherwise: number) => (): number => isProxy() ? PROXY_WATCH_WAIT_MS : otherwise
-  const gatherMembersMs = (): number => Math.min(MAX_GATHER_MS, Math.max(MIN_GATHER_MS, memberCount() * GATHER_PER_MEMBER_MS))
+export function createPrefixWatches ({ protocol, memberCount, readsStore, isProxy, hasPendingOrders }: StoreWatchOptions): PrefixWatch[] {
+  const waitMs = (defaultMs: number) => (): number => isProxy() ? PROXY_WATCH_WAIT_MS : defaultMs
+  const membersBatchDelayMs = (): number => Math.min(MAX_BATCH_DELAY_MS, Math.max(MIN_BATCH_DELAY_MS, memberCount() * BATCH_DELAY_PER_MEMBER_MS))
   return [
-    { prefix: wire.keys.operator, isEnabled: isOwnTurn, batchDelayMs: () => MIN_GATHER_MS, waitMs: waitMs(PROMPT_WATCH_WAIT_MS) },
-    { prefix: STORE_KEY_PREFIX, isEnabled: isOwnTurn, isReadAtStart: true, batchDelayMs: gatherMembersMs, waitMs: waitMs(MEMBERS_WATCH_WAIT_MS) },
-    { prefix: wire.keys.servers, isEnabled: isOwnTurn, batchDelayMs: () => isOrdering() ? GATHER_ORDERS_MS : GATHER_SERVERS_MS, waitMs: waitMs(PROMPT_WATCH_WAIT_MS) }
+    { prefix: protocol.keys.operator, isEnabled: readsStore, batchDelayMs: () => MIN_BATCH_DELAY_MS, waitMs: waitMs(PROMPT_WATCH_WAIT_MS) },
+    { prefix: STORE_KEY_PREFIX, isEnabled: readsStore, isReadAtStart: true, batchDelayMs: membersBatchDelayMs, waitMs: waitMs(MEMBERS_WATCH_WAIT_MS) },
+    { prefix: protocol.keys.servers, isEnabled: readsStore, batchDelayMs: () => hasPendingOrders() ? PENDING_ORDERS_BATCH_DELAY_MS : SERVERS_BATCH_DELAY_MS, waitMs: waitMs(PROMPT_WATCH_WAIT_MS) }
   ]
 }
