--- a/packages/magnoliabay/src/node/commands/platform.ts
+++ b/packages/magnoliabay/src/node/commands/platform.ts
@@ -42,7 +42,7 @@
     const sink = createLogSink({ clock })
     const logger = createLogger({ write: sink.write })
     const store = createMetadataStore({ address: settings.val.store.address, clock, logger })
-    const instance = createServingInstance({ settings: settings.val, wire: platformProtocol, store, engines: createEngineCalls(clock), activity, clock, logger, random: Math.random })
+    const instance = createServingInstance({ settings: settings.val, protocol: platformProtocol, store, engines: createEngineCalls(clock), activity, clock, logger, random: Math.random })
     const discovery = createDiscovery({
       readinessAddress: settings.val.listen.readiness,
       resolutionAddress: settings.val.listen.resolution,
--- a/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
@@ -33,14 +33,14 @@
 const SERVERS = 'servers/'
 const DOMAINS = 5
 /** So many of each failure domain are large machines. */
-const LARGE = 3
+const LARGE_MACHINES_PER_DOMAIN = 3
 const ORDER_LEASE_MS = 3000
 
 export interface SimulatedInstance {
   record: MemberRecord
   cfg: ServingConfigProvider
   servers: ServerList
-  table: FleetView & FleetReporter
+  fleetView: FleetView & FleetReporter
   leadership: LeaderElection
   faults: FaultSwitches<KvFaults>
   stop: AbortController
@@ -90,11 +90,11 @@
     deliveryPolicy: ({ from, to }) => {
       [from, to].map(id => instances.get(id)).forEach(instance => { if (instance !== undefined) instance.messages += 1 })
       const delayMs = 1 + random() * 2
-      noteWake(to, delayMs)
+      recordWakeUp(to, delayMs)
       return [delayMs]
     }
   })
-  const noteWake = (id: string, inMs: number): void => { instances.get(id)?.wakeUpTimes.add(Math.floor(clock.monotonic() + inMs)) }
+  const recordWakeUp = (id: string, inMs: number): void => { instances.get(id)?.wakeUpTimes.add(Math.floor(clock.monotonic() + inMs)) }
   const state = createKvState({ clock })
 
   /** Begins at a moment of its own, and its timers count whole milliseconds, as those of a process do. */
@@ -104,21 +104,21 @@
       now: clock.now,
       monotonic: () => clock.monotonic() - originMs,
       schedule: (delayMs, callback) => clock.schedule(Math.max(1, Math.floor(delayMs)), () => {
-        noteWake(id, 0)
+        recordWakeUp(id, 0)
         callback()
       })
     }
   }
   /** The store as one instance calls it; calls are counted, and a watch is one call at a time. */
-  const createCalls = (instance: () => SimulatedInstance, faults: FaultSwitches<KvFaults>, clock: Clock): { store: Store, calls: WatchClient, reach: ReturnType<typeof createStoreConnectivity> } => {
-    const reach = createStoreConnectivity({ address: 'store', clock, logger })
+  const createStoreClients = (instance: () => SimulatedInstance, faults: FaultSwitches<KvFaults>, clock: Clock): { store: Store, calls: WatchClient, connectivity: ReturnType<typeof createStoreConnectivity> } => {
+    const connectivity = createStoreConnectivity({ address: 'store', clock, logger })
     const subscribers: Subscriber[] = []
     const direct = createDirectStore(state, { clock, faults })
-    const isDown = (): boolean => faults.current.down !== 'no'
+    const isStoreDown = (): boolean => faults.current.down !== 'no'
     const counted = async <T extends { ok: boolean }>(call: Promise<T>): Promise<T> => {
       instance().calls += 1
       const res = await call
-      reach.recordCall(!isDown(), 'a call', 'turned away')
+      connectivity.recordCall(!isStoreDown(), 'a call', 'turned away')
       return res
     }
     const store: Store = {
@@ -130,13 +130,13 @@
       revokeLease: id => counted(direct.revokeLease(id)),
       watch: (prefix, handlers) => { subscribers.push({ prefix, handlers }) }
     }
-    const ofFeed = ({ prefix: root }: PrefixWatch): Subscriber[] => subscribers.filter(({ prefix }) => prefix.startsWith(root))
+    const subscribersOf = ({ prefix: root }: PrefixWatch): Subscriber[] => subscribers.filter(({ prefix }) => prefix.startsWith(root))
     const calls: WatchClient = {
       readAll: async feed => {
         const read = await store.range(feed.prefix)
         if (read.err) return undefined
         const { entries, revision } = read.val
-        ofFeed(feed).forEach(({ prefix, handlers }) => handlers.onSnapshot({ revision, entries: entries.filter(({ key }) => key.startsWith(prefix)) }))
+        subscribersOf(feed).forEach(({ prefix, handlers }) => handlers.onSnapshot({ revision, entries: entries.filter(({ key }) => key.startsWith(prefix)) }))
         return revision
       },
       watch: (feed, { after, waitMs, signal }) => new Promise(resolve => {
@@ -149,84 +149,84 @@
         }
         const answer = (events: readonly KvEvent[], at: number): void => {
           if (signal.aborted) return
-          reach.recordCall(!isDown(), 'a watch', 'turned away')
-          if (isDown()) return end({ kind: 'failed', err: { kind: 'unavailable', message: 'turned away' } })
-          events.forEach(({ kind, entry }) => ofFeed(feed)
+          connectivity.recordCall(!isStoreDown(), 'a watch', 'turned away')
+          if (isStoreDown()) return end({ kind: 'failed', err: { kind: 'unavailable', message: 'turned away' } })
+          events.forEach(({ kind, entry }) => subscribersOf(feed)
             .filter(({ prefix }) => entry.key.startsWith(prefix))
             .forEach(({ handlers }) => handlers.onEvent({ ...entry, kind })))
           end({ kind: 'answered', revision: at, hadEvents: events.length > 0 })
         }
-        const cancelWait = clock.schedule(isDown() ? 0 : waitMs, () => answer([], state.revision()))
+        const cancelWait = clock.schedule(isStoreDown() ? 0 : waitMs, () => answer([], state.revision()))
         signal.addEventListener('abort', () => end({ kind: 'cut' }), { once: true })
         const atOf = (events: readonly KvEvent[]): number => Math.max(...events.map(({ entry }) => entry.modRevision))
-        const watch = state.watch({ key: feed.prefix, end: prefixEnd(feed.prefix) }, after + 1, events => { if (!isDown()) answer(events, atOf(events)) })
+        const watch = state.watch({ key: feed.prefix, end: prefixEnd(feed.prefix) }, after + 1, events => { if (!isStoreDown()) answer(events, atOf(events)) })
         if (watch.kind === 'compacted') return end({ kind: 'history-gone' })
         cancelWatch = watch.cancel
-        if (watch.backlog.length > 0 && !isDown()) clock.schedule(0, () => answer(watch.backlog, atOf(watch.backlog)))
+        if (watch.backlog.length > 0 && !isStoreDown()) clock.schedule(0, () => answer(watch.backlog, atOf(watch.backlog)))
       })
     }
-    return { store, calls, reach }
+    return { store, calls, connectivity }
   }
 
   const start = (index: number): void => {
     const id = idOf(index)
     const incarnation = `${id} ${clock.monotonic()}`
-    const own = createOwnClock(id)
-    const record = memberRecord(id, { incarnation, failureDomain: `d${index % DOMAINS}`, processorShare: index < DOMAINS * LARGE ? 1.35 : 0.324 })
+    const ownClock = createOwnClock(id)
+    const record = memberRecord(id, { incarnation, failureDomain: `d${index % DOMAINS}`, processorShare: index < DOMAINS * LARGE_MACHINES_PER_DOMAIN ? 1.35 : 0.324 })
     const faults = createKvFaults()
     const stop = new AbortController()
-    const joined = network.join(record)
-    let known: readonly MemberRecord[] = [record]
+    const networkPeers = network.join(record)
+    let knownMembers: readonly MemberRecord[] = [record]
     const peers: PeerNetwork = {
-      ...joined,
-      members: () => known,
-      setMembers: records => { known = [...records.filter(each => each.id !== id), record].sort((left, right) => left.id < right.id ? -1 : 1) },
-      linkStateOf: other => joined.isConnected(other) ? 'linked' : 'unlinked',
+      ...networkPeers,
+      members: () => knownMembers,
+      setMembers: records => { knownMembers = [...records.filter(each => each.id !== id), record].sort((left, right) => left.id < right.id ? -1 : 1) },
+      linkStateOf: other => networkPeers.isConnected(other) ? 'linked' : 'unlinked',
       connectOnce: async () => {},
       start: async () => {},
       close: async () => {}
     }
-    const { store, calls, reach } = createCalls(() => instances.get(id)!, faults, own)
-    const storeAgeMs = (): number => own.monotonic() - reach.lastContactMs()
-    const steadyMs = (): number => own.monotonic() - reach.reachableSinceMs()
-    const cfg = createServingConfigProvider({ decode: text => configOf(Number(text)), clock: own, logger })
-    const evacuations = createEvacuations({ storeReachableSinceMs: reach.reachableSinceMs, clock: own, logger })
-    const servers = createServerList({ decode: (_key, text) => JSON.parse(text) as BackendServer, idOf: key => key.slice(SERVERS.length), isEvacuated: evacuations.isEvacuated, storeReachableSinceMs: reach.reachableSinceMs, clock: own, logger })
-    const membership = createMembership({ store, network: peers, clock: own, logger })
+    const { store, calls, connectivity } = createStoreClients(() => instances.get(id)!, faults, ownClock)
+    const storeAgeMs = (): number => ownClock.monotonic() - connectivity.lastContactMs()
+    const steadyMs = (): number => ownClock.monotonic() - connectivity.reachableSinceMs()
+    const cfg = createServingConfigProvider({ decode: text => configOf(Number(text)), clock: ownClock, logger })
+    const evacuations = createEvacuations({ storeReachableSinceMs: connectivity.reachableSinceMs, clock: ownClock, logger })
+    const servers = createServerList({ decode: (_key, text) => JSON.parse(text) as BackendServer, idOf: key => key.slice(SERVERS.length), isEvacuated: evacuations.isEvacuated, storeReachableSinceMs: connectivity.reachableSinceMs, clock: ownClock, logger })
+    const membership = createMembership({ store, network: peers, clock: ownClock, logger })
     const inFlight = new Map<string, number>()
-    const table = createFleetView({
+    const fleetView = createFleetView({
       peers,
-      clock: own,
-      isLinked: joined.isConnected,
+      clock: ownClock,
+      isLinked: networkPeers.isConnected,
       leader: () => leadership.isLeaseHolder() ? id : leadership.leaseHolder(),
       own: () => reportOf({ inFlight: [...inFlight].map(([server, count]) => ({ server, model: 'a', count })), storeAgeMs: storeAgeMs(), isReady: cfg.version() > 0 }),
       spentWithBelow: () => [],
       leading: () => leadership.ownClaim(),
       latestClaim: () => leadership.latestClaimRevision(),
-      summary: () => ({ configVersion: cfg.version(), storeAgeMs: proxy.contact().ageMs, storeSteadyMs: proxy.contact().steadyMs, spent: [], evacuation: evacuations.state(), listDigest: servers.digest(), membersDigest: membership.digest() }),
-      beforeSummary: () => spread.tellChanges(),
+      summary: () => ({ configVersion: cfg.version(), storeAgeMs: storeProxy.contact().ageMs, storeSteadyMs: storeProxy.contact().steadyMs, spent: [], evacuation: evacuations.state(), listDigest: servers.digest(), membersDigest: membership.digest() }),
+      beforeSummary: () => dissemination.tellChanges(),
       onReport: () => {},
-      onSummary: (member, summary) => spread.noteSummary(member.id, summary)
+      onSummary: (member, summary) => dissemination.noteSummary(member.id, summary)
     })
     const leadership: LeaderElection = createLeaderElection({
       store,
       self: id,
       machine: `${id} at home`,
-      renewLeaseViaPeer: async leaseId => [...instances.values()].some(other => other.faults.current.down === 'no') ? await createDirectStore(state, { clock: own }).renewLease(leaseId) : undefined,
+      renewLeaseViaPeer: async leaseId => [...instances.values()].some(other => other.faults.current.down === 'no') ? await createDirectStore(state, { clock: ownClock }).renewLease(leaseId) : undefined,
       hasProcessEnded: async other => !instances.has(other),
-      isFollowing: table.isFollowing,
+      isFollowing: fleetView.isFollowing,
       era: state.era,
       isFirstStart: true,
-      candidacyDelayMs: () => table.isRelayed() && !table.isRelay() ? 800 : 0,
+      candidacyDelayMs: () => fleetView.isRelayed() && !fleetView.isRelay() ? 800 : 0,
       orderLeaseMs: ORDER_LEASE_MS,
       minLeaseMs: 1000,
       processorShare: record.processorShare,
-      clock: own,
+      clock: ownClock,
       logger,
       random
     })
-    const proxy = createStoreProxy({ peers, isLeading: leadership.isLeaseHolder, ownContact: () => ({ ageMs: storeAgeMs(), steadyMs: steadyMs() }), candidates: table.peersWithStoreAccess, onProxyAnswered: member => spread.noteProxy(member), clock: own, logger })
-    const spread = createSpread({
+    const storeProxy = createStoreProxy({ peers, isLeading: leadership.isLeaseHolder, ownContact: () => ({ ageMs: storeAgeMs(), steadyMs: steadyMs() }), candidates: fleetView.peersWithStoreAccess, onProxyAnswered: member => dissemination.noteProxy(member), clock: ownClock, logger })
+    const dissemination = createSpread({
       peers,
       cfg,
       servers,
@@ -234,27 +234,27 @@
       members: membership,
       storeAgeMs,
       leading: () => leadership.ownClaim() ?? leadership.knownClaim(),
-      followers: () => [...table.reporters(), ...proxy.clients()],
-      isLeadingRelays: () => leadership.isLeaseHolder() && table.isRelayed(),
-      isFollowing: table.isFollowing,
-      isLinked: joined.isConnected,
-      isProxy: member => proxy.current() === member,
+      followers: () => [...fleetView.reporters(), ...storeProxy.clients()],
+      isLeadingRelays: () => leadership.isLeaseHolder() && fleetView.isRelayed(),
+      isFollowing: fleetView.isFollowing,
+      isLinked: networkPeers.isConnected,
+      isProxy: member => storeProxy.current() === member,
       onLeaderTold: leading => leadership.noteClaimFromPeer(leading),
-      clock: own,
+      clock: ownClock,
       logger,
       random
     })
-    const isProxy = (): boolean => proxy.clients().length > 0
-    const turn = createStoreReadPolicy({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => known.length, clock: own, logger, random })
-    const feeds = { store, protocol: { keys: { operator: OPERATOR, config: CONFIG, evacuations: EVACUATIONS, servers: SERVERS } }, cfg, evacuations, servers, memberCount: () => known.length, readsStore: turn.readsStore, isProxy, hasPendingOrders: () => false }
-    instances.set(id, { record, cfg, servers, table, leadership, faults, stop, calls: 0, messages: 0, wakeUpTimes: new Set(), inFlight })
-    watchStore(feeds, stop.signal)
+    const isProxy = (): boolean => storeProxy.clients().length > 0
+    const storeReadPolicy = createStoreReadPolicy({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: fleetView.isFollowing, memberCount: () => knownMembers.length, clock: ownClock, logger, random })
+    const watchOptions = { store, protocol: { keys: { operator: OPERATOR, config: CONFIG, evacuations: EVACUATIONS, servers: SERVERS } }, cfg, evacuations, servers, memberCount: () => knownMembers.length, readsStore: storeReadPolicy.readsStore, isProxy, hasPendingOrders: () => false }
+    instances.set(id, { record, cfg, servers, fleetView, leadership, faults, stop, calls: 0, messages: 0, wakeUpTimes: new Set(), inFlight })
+    watchStore(watchOptions, stop.signal)
     membership.start(stop.signal)
     leadership.start(stop.signal)
-    runPrefixWatches({ client: calls, connectivity: reach, clock: own, logger }, createPrefixWatches(feeds), stop.signal)
-    table.start(stop.signal)
-    spread.start(stop.signal)
-    proxy.start(stop.signal)
+    runPrefixWatches({ client: calls, connectivity, clock: ownClock, logger }, createPrefixWatches(watchOptions), stop.signal)
+    fleetView.start(stop.signal)
+    dissemination.start(stop.signal)
+    storeProxy.start(stop.signal)
   }
 
   return {
@@ -288,11 +288,11 @@
 
 /** A fleet that has run for some seconds, with a configuration and some servers. */
 export async function createSettledFleet (size: number, random: () => number): Promise<SimulatedFleet> {
-  const world = createSimulatedFleet(random)
-  world.setConfig(1)
+  const fleet = createSimulatedFleet(random)
+  fleet.setConfig(1)
   const servers = ['s1', 's2', 's3']
-  servers.forEach(id => world.putServer(serverOf(id)))
-  Array.from({ length: size }, (_, index) => index).forEach(index => world.clock.schedule(random() * 300, () => world.start(index)))
-  await world.clock.advance(6000)
-  return world
+  servers.forEach(id => fleet.putServer(serverOf(id)))
+  Array.from({ length: size }, (_, index) => index).forEach(index => fleet.clock.schedule(random() * 300, () => fleet.start(index)))
+  await fleet.clock.advance(6000)
+  return fleet
 }
--- a/packages/magnoliabay/src/node/serving/fleetView.ts
+++ b/packages/magnoliabay/src/node/serving/fleetView.ts
@@ -120,7 +120,7 @@
   let cancelNext = (): void => {}
 
   const perMember = (ms: number, least: number): number => Math.max(least, peers.members().length * ms)
-  const upstream = createUpstream({ peers, leader, silentMs: () => staleMs(), clock })
+  const upstream = createUpstream({ peers, leader, silenceTimeoutMs: () => staleMs(), clock })
   const periodMs = (): number => upstream.isRelayed() ? RELAYED_PERIOD_MS : perMember(PERIOD_PER_MEMBER_MS, MIN_PERIOD_MS)
   const untilNextMs = (offsetMs: number): number =>
     upstream.isRelayed() ? delayToNextWallClockPeriod(clock, periodMs(), offsetMs) : delayToNextPeriod(clock, periodMs())
@@ -165,7 +165,7 @@
     return count > known.count
   }
   peers.listen(summaryNotice, (summary, from) => {
-    upstream.noteHeard(from.id)
+    upstream.recordSummary(from.id)
     if (!isNews(summary)) return
     held = {
       from: from.id,
--- a/packages/magnoliabay/src/node/serving/metrics.ts
+++ b/packages/magnoliabay/src/node/serving/metrics.ts
@@ -14,29 +14,29 @@
   answerSeconds: Histogram
   configVersion: Gauge
   /** Turns of the event loop. */
-  loopTurns: Gauge
+  loopIterations: Gauge
   /** What woke the process. */
-  activity: Gauge<'cause'>
+  wakeups: Gauge<'cause'>
 }
 
-export function createServingMetrics (activity: WakeupCounter): ServingMetrics {
+export function createServingMetrics (wakeupCounter: WakeupCounter): ServingMetrics {
   const registry = createRegistry()
   return {
     registry,
     ended: new Counter({ name: 'magnoliabay_serving_ended_total', help: 'Requests by how they ended.', labelNames: ['reason'], registers: [registry] }),
     answerSeconds: new Histogram({ name: 'magnoliabay_serving_answer_seconds', help: 'Time to the end of an answer.', buckets: LATENCY_BUCKETS_SECONDS, registers: [registry] }),
-    loopTurns: new Gauge({
+    loopIterations: new Gauge({
       name: 'magnoliabay_loop_turns_total',
       help: 'Turns of the event loop.',
       registers: [registry],
       collect () { this.set(eventLoopIterations()) }
     }),
-    activity: new Gauge({
+    wakeups: new Gauge({
       name: 'magnoliabay_activity_total',
       help: 'What woke the process, by cause.',
       labelNames: ['cause'],
       registers: [registry],
-      collect () { activity.counts().forEach((count, cause) => this.set({ cause }, count)) }
+      collect () { wakeupCounter.counts().forEach((count, cause) => this.set({ cause }, count)) }
     }),
     configVersion: new Gauge({ name: 'magnoliabay_serving_config_version', help: 'Version of the configuration in force.', registers: [registry] })
   }
--- a/packages/magnoliabay/src/node/serving/relays.ts
+++ b/packages/magnoliabay/src/node/serving/relays.ts
@@ -21,12 +21,12 @@
   const byDomain = new Map<string, RelayCandidate[]>()
   staying.forEach(member => byDomain.set(member.failureDomain, [...byDomain.get(member.failureDomain) ?? [], member]))
   const perDomain = Math.ceil(Math.sqrt(staying.length) / byDomain.size)
-  return new Map([...byDomain].map(([domain, candidates]) => [domain, strongest(candidates).slice(0, perDomain).map(({ id }) => id)]))
+  return new Map([...byDomain].map(([domain, candidates]) => [domain, sortByProcessorShare(candidates).slice(0, perDomain).map(({ id }) => id)]))
 }
 
-function strongest (candidates: readonly RelayCandidate[]): RelayCandidate[] {
-  const places = new Map(candidates.map(({ id }) => [id, stableHash(id)]))
-  return [...candidates].sort((left, right) => right.processorShare - left.processorShare || places.get(left.id)! - places.get(right.id)!)
+function sortByProcessorShare (members: readonly RelayCandidate[]): RelayCandidate[] {
+  const hashes = new Map(members.map(({ id }) => [id, stableHash(id)]))
+  return [...members].sort((left, right) => right.processorShare - left.processorShare || hashes.get(left.id)! - hashes.get(right.id)!)
 }
 
 /** Relays in the order in which an instance tries them: of its own failure domain first, each instance in an order of its own. */
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -70,13 +70,13 @@
   /** Rises whenever the store has gone on from an older copy of itself. */
   era (): number
   /** Begins to watch. */
-  start (signal: AbortSignal, feeds: readonly PrefixWatch[]): void
+  start (signal: AbortSignal, watches: readonly PrefixWatch[]): void
   close (): Promise<void>
 }
 
 export interface ServingInstanceOptions {
   settings: ServingSettings
-  wire: ServingProtocol
+  protocol: ServingProtocol
   store: ServingStore
   engines: EngineCalls
   /** Counts what wakes the process. */
@@ -98,38 +98,38 @@
 /** Requests for a model are averaged over this long, milliseconds: as long as a rare model is likely to stay. */
 const DEMAND_AVERAGE_MS = 8000
 /** Rates below this are not told, requests a second. */
-const LEAST_RATE = 0.02
+const MIN_REPORTED_RATE = 0.02
 /** Part of the retry budget that is spent; the rest covers what two instances count differently. */
-const RETRY_PART = 0.5
+const RETRY_BUDGET_RATIO = 0.5
 /** Callers keep an address for up to three times the two seconds that they are told. */
-const ADDRESS_KEPT_MS = 6000
+const MAX_ADDRESS_USE_MS = 6000
 /**
  * A stream that begins later than this part of the grace period would be cut by its end: streams take some seconds,
  * and callers that kept the address may still come. They are told at once, and go elsewhere.
  */
-const LAST_STREAM_PART = 0.3
+const LAST_STREAM_RATIO = 0.3
 /** The same for calls of plain services, before the end of the grace period, milliseconds. */
-const LAST_CALL_MS = 2200
+const LAST_CALL_MARGIN_MS = 2200
 /** A request that was there when so many servers died is refused; fewer may be chance on a day when many die. */
 const CRASHES_TO_REFUSE = 3
 /** Callers send such a request again within seconds; the same bytes a minute later may be another's. */
-const SUSPECT_HELD_MS = 60_000
+const SUSPECT_RETENTION_MS = 60_000
 /** The store has been out of reach for longer than its watch takes to tell, milliseconds. */
-const ISOLATED_STORE_MS = 5500
+const ISOLATED_STORE_AGE_MS = 5500
 /** An instance that has links to fewer than this part of the others is on the wrong side of a cut. */
-const ISOLATED_PART = 0.4
+const ISOLATED_LINK_RATIO = 0.4
 /** Those that are no relays try for the lease this much later, milliseconds: a leader is best found by relays, and tells the others. */
-const YIELD_TO_RELAYS_MS = 800
+const NON_RELAY_CANDIDACY_DELAY_MS = 800
 /** Members asked at random to reach the store for this one, where those above cannot. */
-const OTHERS_AT_STORE = 2
+const RANDOM_STORE_PEERS = 2
 /** What is left of the grace period when the process ends by itself, milliseconds. */
-const GRACE_MARGIN_MS = 600
+const SHUTDOWN_MARGIN_MS = 600
 
 /** A machine that is up refuses within a round trip, milliseconds. */
-const ENDED_PATIENCE_MS = 500
+const PROCESS_PROBE_TIMEOUT_MS = 500
 
 export function createServingInstance (options: ServingInstanceOptions): ServingInstance {
-  const { settings, wire, store, activity, clock, random } = options
+  const { settings, protocol, store, activity, clock, random } = options
   const { id, region, failureDomain } = settings.instance
   const logger = options.logger.with({ instance: id })
   const self: MemberRecord = {
@@ -149,33 +149,33 @@
   const metrics = createServingMetrics(activity)
   const peers = createPeerNetwork({ self, clock, logger, onFrame: kind => activity.note(`peer ${kind}`) })
   const membership = createMembership({ store, network: peers, clock, logger })
-  const cfg = createServingConfigProvider({ decode: wire.decodeConfig, clock, logger })
+  const cfg = createServingConfigProvider({ decode: protocol.decodeConfig, clock, logger })
   const evacuations = createEvacuations({ storeReachableSinceMs: store.reachableSinceMs, clock, logger })
-  const servers = createServerList({ decode: wire.decodeServer, idOf: wire.serverIdOf, isEvacuated: evacuations.isEvacuated, storeReachableSinceMs: store.reachableSinceMs, clock, logger })
+  const servers = createServerList({ decode: protocol.decodeServer, idOf: protocol.serverIdOf, isEvacuated: evacuations.isEvacuated, storeReachableSinceMs: store.reachableSinceMs, clock, logger })
   const health = createServerHealth(clock)
   const connections = createConnections(clock)
   const demand = new Map<string, DecayingRate>()
   const budgets = new Map<string, RetryBudget>()
 
   let leavingSinceMs = Infinity
-  const lastRequestMs: Record<RequestKind, number> = {
-    stream: settings.gracePeriodMs * LAST_STREAM_PART,
-    idempotent: settings.gracePeriodMs - LAST_CALL_MS,
-    'non-idempotent': settings.gracePeriodMs - LAST_CALL_MS
+  const lastAcceptedMs: Record<RequestKind, number> = {
+    stream: settings.gracePeriodMs * LAST_STREAM_RATIO,
+    idempotent: settings.gracePeriodMs - LAST_CALL_MARGIN_MS,
+    'non-idempotent': settings.gracePeriodMs - LAST_CALL_MARGIN_MS
   }
   const isReady = (): boolean => cfg.version() > 0 && servers.isKnown() && !self.leaving
   const otherMembers = (): readonly MemberRecord[] => peers.members().filter(member => member.id !== id && !member.leaving)
   const isLinked = (member: string): boolean => member === id || peers.linkStateOf(member) === 'linked'
   /** Cut off from the store and from most of those to whom links are kept: what the fleet decides passes it by. */
   const isIsolated = (): boolean => {
-    const kept = otherMembers().map(member => peers.linkStateOf(member.id)).filter(evidence => evidence !== 'none')
-    const linked = kept.filter(evidence => evidence === 'linked').length
-    return storeAgeMs() > ISOLATED_STORE_MS && linked < kept.length * ISOLATED_PART
+    const linkStates = otherMembers().map(member => peers.linkStateOf(member.id)).filter(state => state !== 'none')
+    const linked = linkStates.filter(state => state === 'linked').length
+    return storeAgeMs() > ISOLATED_STORE_AGE_MS && linked < linkStates.length * ISOLATED_LINK_RATIO
   }
   const storeAgeMs = (): number => clock.monotonic() - store.lastContactMs()
   const isConfigured = (model: string): boolean =>
     [...cfg.current()?.services.values() ?? []].some(service => service.engine?.models.has(model.split('/')[0]!) ?? false)
-  const noteDemand = (model: string): void => {
+  const recordDemand = (model: string): void => {
     if (!demand.has(model) && !isConfigured(model)) return
     const rate = demand.get(model) ?? createDecayingRate(DEMAND_AVERAGE_MS)
     demand.set(model, rate)
@@ -183,22 +183,22 @@
   }
   const retryBudget = (service: string): RetryBudget => {
     const { ratio, slack } = settings.retryBudget
-    const reserve = (): number => slack * RETRY_PART / Math.max(1, peers.members().length)
-    const budget = budgets.get(service) ?? createRetryBudget({ retriesPerRequest: ratio * RETRY_PART, burst: reserve })
+    const reserve = (): number => slack * RETRY_BUDGET_RATIO / Math.max(1, peers.members().length)
+    const budget = budgets.get(service) ?? createRetryBudget({ retriesPerRequest: ratio * RETRY_BUDGET_RATIO, burst: reserve })
     budgets.set(service, budget)
     return budget
   }
   const ownReport = (): InstanceReport => {
     const now = clock.monotonic()
     const waiting = placement.waitingByModel()
-    const asked = new Set([...demand.keys(), ...waiting.keys()])
+    const models = new Set([...demand.keys(), ...waiting.keys()])
     return {
       configVersion: cfg.version(),
       storeAgeMs: Math.round(storeAgeMs()),
       inFlight: health.inFlightByModel(),
-      demand: [...asked]
+      demand: [...models]
         .map(model => ({ model, rate: demand.get(model)?.read(now) ?? 0, waiting: waiting.get(model) ?? 0 }))
-        .filter(entry => entry.rate > LEAST_RATE || entry.waiting > 0),
+        .filter(entry => entry.rate > MIN_REPORTED_RATE || entry.waiting > 0),
       leavingServers: servers.leaving(),
       silentServers: servers.all().map(serverProcessId).filter(health.isSilent).map(server => ({ server, tellers: 1 })),
       spent: allowance.ownSpending(),
@@ -208,7 +208,7 @@
     }
   }
   const leader = (): string | undefined => leadership.isLeaseHolder() ? id : leadership.leaseHolder()
-  const table = createFleetView({
+  const fleetView = createFleetView({
     peers,
     clock,
     isLinked,
@@ -217,11 +217,11 @@
     spentWithBelow: () => allowance.subtreeSpending(),
     leading: () => leadership.ownClaim(),
     latestClaim: () => leadership.latestClaimRevision(),
-    beforeSummary: () => spread.tellChanges(),
+    beforeSummary: () => dissemination.tellChanges(),
     summary: () => ({
       configVersion: cfg.version(),
-      storeAgeMs: Math.round(proxy.contact().ageMs),
-      storeSteadyMs: proxy.contact().steadyMs,
+      storeAgeMs: Math.round(storeProxy.contact().ageMs),
+      storeSteadyMs: storeProxy.contact().steadyMs,
       spent: allowance.fleetSpending(),
       evacuation: evacuations.state(),
       listDigest: servers.digest(),
@@ -232,25 +232,25 @@
       allowance.notePeerSpending(member.incarnation, report.spent)
     },
     onSummary: (member, summary) => {
-      spread.noteSummary(member.id, summary)
+      dissemination.noteSummary(member.id, summary)
       allowance.noteFleetSpending(summary.spent)
     }
   })
-  const proxy = createStoreProxy({
+  const storeProxy = createStoreProxy({
     peers,
     isLeading: () => leadership.isLeaseHolder(),
     ownContact: () => ({ ageMs: storeAgeMs(), steadyMs: clock.monotonic() - store.reachableSinceMs() }),
-    candidates: table.peersWithStoreAccess,
-    onProxyAnswered: member => spread.noteProxy(member),
+    candidates: fleetView.peersWithStoreAccess,
+    onProxyAnswered: member => dissemination.noteProxy(member),
     clock,
     logger
   })
-  const spread = createSpread({ peers, cfg, servers, evacuations, members: membership, storeAgeMs, leading: () => leadership.ownClaim() ?? leadership.knownClaim(), followers: () => [...table.reporters(), ...proxy.clients()], isProxy: member => proxy.current() === member, isLeadingRelays: () => leadership.isLeaseHolder() && table.isRelayed(), isFollowing: table.isFollowing, isLinked, onLeaderTold: leading => leadership.noteClaimFromPeer(leading), clock, logger, random })
+  const dissemination = createSpread({ peers, cfg, servers, evacuations, members: membership, storeAgeMs, leading: () => leadership.ownClaim() ?? leadership.knownClaim(), followers: () => [...fleetView.reporters(), ...storeProxy.clients()], isProxy: member => storeProxy.current() === member, isLeadingRelays: () => leadership.isLeaseHolder() && fleetView.isRelayed(), isFollowing: fleetView.isFollowing, isLinked, onLeaderTold: leading => leadership.noteClaimFromPeer(leading), clock, logger, random })
   /** Neighbours and relays look: they are a few, hold links to the leader, and see one end. */
-  const hasEnded = async (member: string): Promise<boolean> => {
+  const hasProcessEnded = async (member: string): Promise<boolean> => {
     const record = peers.members().find(each => each.id === member)
-    const mayTell = peers.linkStateOf(member) === 'unlinked' || (table.isRelay() && !isLinked(member))
-    return record !== undefined && mayTell && await probeAddress(clock, parseHostPort(record.peerAddress), ENDED_PATIENCE_MS) === 'refused'
+    const mayTell = peers.linkStateOf(member) === 'unlinked' || (fleetView.isRelay() && !isLinked(member))
+    return record !== undefined && mayTell && await probeAddress(clock, parseHostPort(record.peerAddress), PROCESS_PROBE_TIMEOUT_MS) === 'refused'
   }
   const leadership = createLeaderElection({
     store,
@@ -259,17 +259,17 @@
     orderLeaseMs: settings.orderLeaseMs,
     minLeaseMs: settings.store.minLeaseMs,
     processorShare: settings.processorShare,
-    renewLeaseViaPeer: createPeerLeaseRenewal({ peers, store, peerWithLatestStoreContact: table.peerWithLatestStoreContact }),
-    hasProcessEnded: hasEnded,
-    isFollowing: table.isFollowing,
+    renewLeaseViaPeer: createPeerLeaseRenewal({ peers, store, peerWithLatestStoreContact: fleetView.peerWithLatestStoreContact }),
+    hasProcessEnded,
+    isFollowing: fleetView.isFollowing,
     era: store.era,
     isFirstStart: settings.isFirstStart,
-    candidacyDelayMs: () => table.isRelayed() && !table.isRelay() ? YIELD_TO_RELAYS_MS : 0,
+    candidacyDelayMs: () => fleetView.isRelayed() && !fleetView.isRelay() ? NON_RELAY_CANDIDACY_DELAY_MS : 0,
     clock,
     logger,
     random
   })
-  const orderer = createPlacementController({ self: id, leadership, servers, cfg, table, engines: options.engines, storeReachableSinceMs: store.reachableSinceMs, peers, clock, logger, loadWindowMs: settings.storeLoadWindowMs })
+  const placementController = createPlacementController({ self: id, leadership, servers, cfg, table: fleetView, engines: options.engines, storeReachableSinceMs: store.reachableSinceMs, peers, clock, logger, loadWindowMs: settings.storeLoadWindowMs })
   const placement = createPlacementClient({
     peers,
     servers,
@@ -279,8 +279,8 @@
     clock,
     logger
   })
-  const records = createPeerFallbackStore({ peers, store, isStoreUnreachable: () => store.reachableSinceMs() === Infinity, peersWithStoreAccess: () => [...table.peersWithStoreAccess(), ...anyMembers(OTHERS_AT_STORE)] })
-  const anyMembers = (count: number): string[] => {
+  const recordStore = createPeerFallbackStore({ peers, store, isStoreUnreachable: () => store.reachableSinceMs() === Infinity, peersWithStoreAccess: () => [...fleetView.peersWithStoreAccess(), ...pickRandomMembers(RANDOM_STORE_PEERS)] })
+  const pickRandomMembers = (count: number): string[] => {
     const others = otherMembers().map(member => member.id)
     return Array.from({ length: Math.min(count, others.length) }, () => others[Math.floor(random() * others.length)]!)
   }
@@ -289,7 +289,7 @@
     findTeam: name => cfg.current()?.teams?.find(team => team.name === name),
     windowMs: settings.allowanceWindowMs,
     isFirstStart: settings.isFirstStart,
-    store: records,
+    store: recordStore,
     era: store.era,
     tolerance: settings.allowanceTolerance,
     clock,
@@ -300,7 +300,7 @@
     clock,
     logger,
     hasCrashed: async address => !await connections.isAlive(address),
-    retentionMs: SUSPECT_HELD_MS,
+    retentionMs: SUSPECT_RETENTION_MS,
     refuseAfterCrashes: CRASHES_TO_REFUSE
   })
   const coldStarts = createColdStarts({
@@ -312,22 +312,22 @@
     clock,
     logger
   })
-  const serve = createRequestHandler({
+  const handleRequest = createRequestHandler({
     suspects,
     cfg,
-    protocol: wire,
+    protocol,
     servers,
     health,
-    fleetView: table,
+    fleetView,
     placement,
     allowance,
     connections,
     coldStarts,
     retryBudget,
-    recordDemand: noteDemand,
-    onModelUseChanged: table.tellSoon,
+    recordDemand,
+    onModelUseChanged: fleetView.tellSoon,
     recordWakeup: activity.note,
-    isClosingFor: kind => clock.monotonic() - leavingSinceMs > lastRequestMs[kind],
+    isClosingFor: kind => clock.monotonic() - leavingSinceMs > lastAcceptedMs[kind],
     metrics,
     clock,
     logger,
@@ -335,7 +335,7 @@
     random,
     pause: ms => sleep(clock, ms)
   })
-  const door = createFrontDoor({ address: settings.listen.entry, serve, isLeaving: () => self.leaving, clock, logger })
+  const entryServer = createFrontDoor({ address: settings.listen.entry, serve: handleRequest, isLeaving: () => self.leaving, clock, logger })
   const metricsServer = createServer(polka().get('/metrics', async (_req, res) => {
     res.writeHead(200, { 'content-type': metrics.registry.contentType })
     res.end(await metrics.registry.metrics())
@@ -344,49 +344,49 @@
   evacuations.onChanged(servers.notifyChanged)
   cfg.onChanged(() => {
     metrics.configVersion.set(cfg.version())
-    door.setLimits(cfg.current()!.limits)
+    entryServer.setLimits(cfg.current()!.limits)
   })
   forgetGoneServers({ servers, health, connections, engines: options.engines })
-  const isProxy = (): boolean => proxy.clients().length > 0
-  const turn = createStoreReadPolicy({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: table.isFollowing, memberCount: () => peers.members().length, clock, logger, random })
-  const feeds: StoreWatchOptions = { store, protocol: wire, cfg, evacuations, servers, memberCount: () => peers.members().length, readsStore: turn.readsStore, isProxy, hasPendingOrders: orderer.hasPendingOrders }
-  const isLonely = (): boolean => cfg.version() === 0 || !servers.isKnown() || peers.members().length < 2
+  const isProxy = (): boolean => storeProxy.clients().length > 0
+  const storeReadPolicy = createStoreReadPolicy({ isLeading: leadership.isLeaseHolder, isProxy, isFollowing: fleetView.isFollowing, memberCount: () => peers.members().length, clock, logger, random })
+  const watchOptions: StoreWatchOptions = { store, protocol, cfg, evacuations, servers, memberCount: () => peers.members().length, readsStore: storeReadPolicy.readsStore, isProxy, hasPendingOrders: placementController.hasPendingOrders }
+  const needsSeeds = (): boolean => cfg.version() === 0 || !servers.isKnown() || peers.members().length < 2
 
   return {
     isReady,
     entryAddressesFor: () => {
       // Those that it cannot reach are most likely well: callers that come here would only be refused.
       if (isIsolated()) return otherMembers().filter(member => !peers.isConnected(member.id)).map(member => member.entryAddress)
-      const others = otherMembers().filter(member => peers.isConnected(member.id) && table.isAvailable(member.id))
+      const others = otherMembers().filter(member => peers.isConnected(member.id) && fleetView.isAvailable(member.id))
       return [...(isReady() ? [self] : []), ...others].map(member => member.entryAddress)
     },
     start: async () => {
       await peers.start()
-      watchStore(feeds, stop.signal)
+      watchStore(watchOptions, stop.signal)
       membership.start(stop.signal)
       leadership.start(stop.signal)
-      orderer.start(stop.signal)
-      store.start(stop.signal, createPrefixWatches(feeds))
-      table.start(stop.signal)
-      spread.start(stop.signal)
-      proxy.start(stop.signal)
-      contactSeeds({ network: peers, seeds: settings.seeds, isNeeded: isLonely, clock }, stop.signal)
-      await door.start()
+      placementController.start(stop.signal)
+      store.start(stop.signal, createPrefixWatches(watchOptions))
+      fleetView.start(stop.signal)
+      dissemination.start(stop.signal)
+      storeProxy.start(stop.signal)
+      contactSeeds({ network: peers, seeds: settings.seeds, isNeeded: needsSeeds, clock }, stop.signal)
+      await entryServer.start()
       await listenOn(metricsServer, settings.listen.metrics)
       logger.info('instance-started', { incarnation: self.incarnation, entry: settings.listen.entry, peers: settings.listen.peers, leaderKey: LEADER_KEY })
     },
     shutdown: createShutdown({
       clock,
       logger,
-      locateKeepMs: Math.min(ADDRESS_KEPT_MS, settings.gracePeriodMs - 2 * GRACE_MARGIN_MS),
-      drainMs: Math.max(0, settings.gracePeriodMs - ADDRESS_KEPT_MS - GRACE_MARGIN_MS),
+      locateKeepMs: Math.min(MAX_ADDRESS_USE_MS, settings.gracePeriodMs - 2 * SHUTDOWN_MARGIN_MS),
+      drainMs: Math.max(0, settings.gracePeriodMs - MAX_ADDRESS_USE_MS - SHUTDOWN_MARGIN_MS),
       steps: {
         leave: async () => {
           leavingSinceMs = clock.monotonic()
           await membership.announceLeaving()
         },
         handOver: () => leadership.resign(),
-        drain: door.close,
+        drain: entryServer.close,
         finish: async () => {
           stop.abort()
           await membership.deregister()
--- a/packages/magnoliabay/src/node/serving/upstream.ts
+++ b/packages/magnoliabay/src/node/serving/upstream.ts
@@ -4,14 +4,14 @@
 import { chooseRelays, rankRelays } from './relays'
 
 /** A relay that told nothing is not tried again for this long, milliseconds. */
-const AVOID_RELAY_MS = 5000
+const RELAY_AVOIDANCE_MS = 5000
 
 export interface UpstreamOptions {
   peers: Pick<Peers, 'self' | 'members' | 'isConnected'>
   /** The instance that leads, as far as known here. */
   leader: () => string | undefined
   /** A relay that told nothing for this long is given up, milliseconds. */
-  silentMs: () => number
+  silenceTimeoutMs: () => number
   clock: Clock
 }
 
@@ -23,7 +23,7 @@
   /** Whether this instance is one of them. */
   isRelay (): boolean
   /** A summary came from this member. */
-  noteHeard (member: string): void
+  recordSummary (member: string): void
 }
 
 interface Ranking {
@@ -36,20 +36,20 @@
 interface Attachment {
   relay: string
   /** Since it was chosen, or told something last. */
-  heardMs: number
+  lastSummaryMs: number
 }
 
-export function createUpstream ({ peers, leader, silentMs, clock }: UpstreamOptions): Upstream {
+export function createUpstream ({ peers, leader, silenceTimeoutMs, clock }: UpstreamOptions): Upstream {
   const self = peers.self
-  let rankedOf: readonly MemberRecord[] | undefined
+  let rankedMembers: readonly MemberRecord[] | undefined
   let ranking: Ranking = { isRelayed: false, isRelay: false, relays: [] }
   let attached: Attachment | undefined
   const avoidedUntilMs = new Map<string, number>()
 
-  const ranked = (): Ranking => {
+  const currentRanking = (): Ranking => {
     const members = peers.members()
-    if (rankedOf === members) return ranking
-    rankedOf = members
+    if (rankedMembers === members) return ranking
+    rankedMembers = members
     const relays = chooseRelays(members)
     ranking = {
       isRelayed: relays.size > 0,
@@ -59,28 +59,28 @@
     return ranking
   }
   const isUsable = (relay: string): boolean => peers.isConnected(relay) && (avoidedUntilMs.get(relay) ?? -Infinity) <= clock.monotonic()
-  const giveUpSilent = (): void => {
-    if (attached === undefined || clock.monotonic() - attached.heardMs <= silentMs()) return
-    avoidedUntilMs.set(attached.relay, clock.monotonic() + AVOID_RELAY_MS)
+  const detachIfSilent = (): void => {
+    if (attached === undefined || clock.monotonic() - attached.lastSummaryMs <= silenceTimeoutMs()) return
+    avoidedUntilMs.set(attached.relay, clock.monotonic() + RELAY_AVOIDANCE_MS)
     attached = undefined
   }
   const relayOf = ({ relays }: Ranking): string | undefined => {
-    giveUpSilent()
+    detachIfSilent()
     if (attached !== undefined && relays.includes(attached.relay) && isUsable(attached.relay)) return attached.relay
     const relay = relays.find(isUsable)
-    attached = relay === undefined ? undefined : { relay, heardMs: clock.monotonic() }
+    attached = relay === undefined ? undefined : { relay, lastSummaryMs: clock.monotonic() }
     return relay
   }
 
   return {
     current: () => {
-      const at = leader()
-      const place = ranked()
-      if (at === self.id || place.isRelay || !place.isRelayed) return at
-      return relayOf(place) ?? at
+      const leaderId = leader()
+      const ranks = currentRanking()
+      if (leaderId === self.id || ranks.isRelay || !ranks.isRelayed) return leaderId
+      return relayOf(ranks) ?? leaderId
     },
-    isRelayed: () => ranked().isRelayed,
-    isRelay: () => ranked().isRelay,
-    noteHeard: member => { if (attached?.relay === member) attached.heardMs = clock.monotonic() }
+    isRelayed: () => currentRanking().isRelayed,
+    isRelay: () => currentRanking().isRelay,
+    recordSummary: member => { if (attached?.relay === member) attached.lastSummaryMs = clock.monotonic() }
   }
 }
