--- a/packages/magnoliabay/src/node/serving/__tests__/rawServer.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/rawServer.ts
@@ -1,19 +1,19 @@
-/** A backend server of raw bytes, for answers that no HTTP library would send. */
+/** A backend server that writes raw bytes, for responses that no HTTP library would send. */
 import { createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 
 export interface RawServer {
   address: string
-  /** Requests as they came, head and body. */
+  /** Requests as received, head and body. */
   received: string[]
   connections (): number
-  /** New connections are refused; those open stay. */
+  /** Refuses new connections; open ones stay. */
   stopListening (): void
   close (): Promise<void>
 }
 
-/** `answer` is called with each request once its body is whole, and the number of requests so far. */
-export async function startRawServer (answer: (socket: Socket, request: string, count: number) => void): Promise<RawServer> {
+/** Starts the server. `respond` is called with each request once its body is complete, and with the number of requests so far. */
+export async function startRawServer (respond: (socket: Socket, request: string, count: number) => void): Promise<RawServer> {
   const received: string[] = []
   const sockets = new Set<Socket>()
   let connections = 0
@@ -32,7 +32,7 @@
       const request = pending.slice(0, headEnd + 4 + length)
       pending = pending.slice(request.length)
       received.push(request)
-      answer(socket, request, received.length)
+      respond(socket, request, received.length)
     })
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
--- a/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of any size in virtual time: the real modules of the control plane over a network and a store in memory. */
+/** Simulates a fleet of any size in virtual time: the control plane's modules over an in-memory network and store. */
 import { createDirectStore, createKvFaults, createKvState } from '@magnoliabay/standins'
 import type { FaultSwitches, KvEvent, KvFaults, KvState } from '@magnoliabay/standins'
 import type { Clock } from '../../../clock'
@@ -32,7 +32,7 @@
 const EVACUATIONS = 'op/evacuate/'
 const SERVERS = 'servers/'
 const DOMAINS = 5
-/** So many of each failure domain are large machines. */
+/** Number of large machines in each failure domain. */
 const LARGE_MACHINES_PER_DOMAIN = 3
 const ORDER_LEASE_MS = 3000
 
@@ -44,13 +44,13 @@
   leadership: LeaderElection
   faults: FaultSwitches<KvFaults>
   stop: AbortController
-  /** Of the store, since they were last reset. */
+  /** Calls of the store since the last reset. */
   calls: number
-  /** Messages sent and received, since they were last reset. */
+  /** Messages sent and received since the last reset. */
   messages: number
-  /** Moments at which a timer or a message woke it, since they were last reset, whole milliseconds. */
+  /** Times at which a timer or a message woke it since the last reset, whole milliseconds. */
   wakeUpTimes: Set<number>
-  /** Requests that it has under way, by server. */
+  /** Its requests in flight, by server. */
   inFlight: Map<string, number>
 }
 
@@ -60,13 +60,13 @@
   state: KvState
   instances: Map<string, SimulatedInstance>
   start (index: number): void
-  /** The process is gone; nothing of it is given back. */
+  /** Ends the process without a shutdown; its lease is not released. */
   kill (id: string): void
-  /** The operators accept a configuration. */
+  /** Writes a configuration as the operators do. */
   setConfig (version: number): void
   putServer (server: BackendServer): void
   removeServer (id: string): void
-  /** The operator begins or ends an evacuation of a failure domain. */
+  /** Begins or ends an evacuation of a failure domain. */
   setEvacuated (failureDomain: string, isEvacuated: boolean): void
   leader (): string | undefined
   resetCounts (): void
@@ -97,7 +97,7 @@
   const recordWakeUp = (id: string, inMs: number): void => { instances.get(id)?.wakeUpTimes.add(Math.floor(clock.monotonic() + inMs)) }
   const state = createKvState({ clock })
 
-  /** Begins at a moment of its own, and its timers count whole milliseconds, as those of a process do. */
+  /** Creates a clock with its own origin, whose timers count whole milliseconds as those of a process do. */
   const createOwnClock = (id: string): Clock => {
     const originMs = clock.monotonic() - random()
     return {
@@ -109,7 +109,7 @@
       })
     }
   }
-  /** The store as one instance calls it; calls are counted, and a watch is one call at a time. */
+  /** Creates one instance's access to the store. Calls are counted, and a watch is a series of single calls. */
   const createStoreClients = (instance: () => SimulatedInstance, faults: FaultSwitches<KvFaults>, clock: Clock): { store: Store, calls: WatchClient, connectivity: ReturnType<typeof createStoreConnectivity> } => {
     const connectivity = createStoreConnectivity({ address: 'store', clock, logger })
     const subscribers: Subscriber[] = []
@@ -286,7 +286,7 @@
   }
 }
 
-/** A fleet that has run for some seconds, with a configuration and some servers. */
+/** Creates a fleet that has run for some seconds, with a configuration and some servers. */
 export async function createSettledFleet (size: number, random: () => number): Promise<SimulatedFleet> {
   const fleet = createSimulatedFleet(random)
   fleet.setConfig(1)
