--- a/packages/magnoliabay/src/node/serving/fleetView.ts
+++ b/packages/magnoliabay/src/node/serving/fleetView.ts
@@ -9,7 +9,7 @@
 import { reportNotice, summaryNotice } from './fleetMessages'
 import type { FleetSummary, InstanceReport, LeadershipTerm, MemberState } from './fleetMessages'
 import { createFleetTotals } from './fleetTotals'
-import { DOUBT_MS } from './serverList'
+import { STORE_RECOVERY_MS } from './serverList'
 import { createUpstream } from './upstream'
 
 /** Time between two reports for each member, which keeps the leader's work constant as the fleet grows, milliseconds. */
@@ -122,7 +122,7 @@
   let cancelNextReport = (): void => {}
 
   const scaledByMembers = (perMemberMs: number, minMs: number): number => Math.max(minMs, peers.members().length * perMemberMs)
-  const upstream = createUpstream({ peers, leader, silentMs: () => staleMs(), clock })
+  const upstream = createUpstream({ peers, leader, silenceTimeoutMs: () => staleMs(), clock })
   const reportIntervalMs = (): number => upstream.isRelayed() ? RELAYED_REPORT_INTERVAL_MS : scaledByMembers(REPORT_INTERVAL_PER_MEMBER_MS, MIN_REPORT_INTERVAL_MS)
   const delayToNextMs = (offsetMs: number): number =>
     upstream.isRelayed() ? delayToNextWallClockPeriod(clock, reportIntervalMs(), offsetMs) : delayToNextPeriod(clock, reportIntervalMs())
@@ -167,7 +167,7 @@
     return count > known.count
   }
   peers.listen(summaryNotice, (summary, from) => {
-    upstream.noteHeard(from.id)
+    upstream.recordSummary(from.id)
     if (!isNewer(summary)) return
     latestSummary = {
       sender: from.id,
@@ -262,7 +262,7 @@
       const ageMs = clock.monotonic() - latestSummary.atMs
       // A leader that has just regained the store delays removals, since they may be lapsed entries. An instance that kept
       // contact to the store would get them too late, and uses its own watch.
-      if (latestSummary.summary.storeSteadyMs + ageMs < DOUBT_MS) return false
+      if (latestSummary.summary.storeSteadyMs + ageMs < STORE_RECOVERY_MS) return false
       // Relays are the first to notice that the leader has ended. Their downstream waits for summaries of the next leader.
       if (upstream.isRelayed() && isSentByLeader() && !options.isLinked(latestSummary.sender)) return false
       return ageMs < Math.max(MIN_FRESH_MS, FRESH_INTERVALS * reportIntervalMs()) && latestSummary.summary.storeAgeMs + ageMs < MAX_LEADER_STORE_AGE_MS
