--- a/packages/magnoliabay/src/node/store/etcd.ts
+++ b/packages/magnoliabay/src/node/store/etcd.ts
@@ -1,6 +1,4 @@
-/**
- * Client of the platform's key-value service: the etcd v3 HTTP/JSON gateway, as published.
- */
+/** Client of the platform's key-value service through the etcd v3 HTTP/JSON gateway. */
 import { Pool, buildConnector } from 'undici'
 import type { Clock } from '../clock'
 import { sleep } from '../clock'
@@ -9,27 +7,27 @@
 import type { Result } from '../result'
 import { decodeKeyValue, encodeRange, encodeTransaction } from './etcdCodec'
 import type { EtcdHeader, EtcdRangeResponse, EtcdTxnResponse } from './etcdCodec'
-import { errorOfAnswer, errorOfThrown } from './etcdErrors'
+import { errorOfResponse, errorOfThrown } from './etcdErrors'
 import type { EtcdErrorBody } from './etcdErrors'
 import { runWatch } from './etcdWatch'
 import type { Store, StoreError } from './store'
 
 export interface EtcdStoreOptions {
-  /** Origins, such as `http://127.0.0.1:2379`. Tried in turn when one cannot be reached. */
+  /** Origins, such as `http://127.0.0.1:2379`. The next one is used when one cannot be reached. */
   endpoints: readonly string[]
-  /** A call unanswered for this long has an unknown effect. @default 3000 */
+  /** Timeout of one call; whether a call that times out took effect is unknown. @default 3000 */
   callTimeoutMs?: number
-  /** Connections to an endpoint, watches apart. @default 4 */
+  /** Connections per endpoint, not counting those of watches. @default 4 */
   connections?: number
-  /** For `https:` endpoints, asked at each new connection. @default the system's authorities, no certificate of our own */
+  /** TLS options for `https:` endpoints, read for each new connection. @default the system's authorities, no client certificate */
   tls?: () => StoreTls
-  /** Spreads instances that retry after the same outage; gives 0 to 1. @default Math.random */
+  /** Jitter for the retries of watches, from 0 to 1: spreads instances that retry after the same outage. @default Math.random */
   random?: () => number
   clock: Clock
   logger: Logger
 }
 
-/** PEM texts. */
+/** TLS options as PEM texts. */
 export interface StoreTls {
   ca?: string
   cert?: string
@@ -37,8 +35,8 @@
 }
 
 const CONNECT_TIMEOUT_MS = 1000
-const FIRST_RETRY_WATCH_MS = 250
-const LAST_RETRY_WATCH_MS = 8000
+const MIN_WATCH_RETRY_DELAY_MS = 250
+const MAX_WATCH_RETRY_DELAY_MS = 8000
 
 export function createEtcdStore (options: EtcdStoreOptions): Store & { close: () => Promise<void> } {
   const { clock } = options
@@ -47,32 +45,32 @@
     buildConnector({ timeout: CONNECT_TIMEOUT_MS, ...options.tls?.() })(target, done)
   const openPool = (endpoint: string): Pool => new Pool(endpoint, { connections: options.connections ?? 4, connect })
   const pools = options.endpoints.map(openPool)
-  const retired = new Set<Pool>()
+  const closingPools = new Set<Pool>()
   const watchPools = options.endpoints.map(endpoint => new Pool(endpoint, { connections: null, bodyTimeout: 0, connect }))
-  let current = 0
+  let currentEndpoint = 0
 
-  /** Calls that failed together move on by one endpoint together, not past the next one that works. */
-  const moveOn = (failed: number): void => {
-    if (current === failed) current = (failed + 1) % pools.length
+  /** Switches to the next endpoint once for all calls that failed on the same one, so that a working endpoint isn't skipped. */
+  const useNextEndpoint = (failedEndpoint: number): void => {
+    if (currentEndpoint === failedEndpoint) currentEndpoint = (failedEndpoint + 1) % pools.length
   }
 
   /**
-   * After a call that nobody answered, later calls get new connections. Connections tend to go silent
-   * together (something between the two ends has lost track of them), and each old one that is kept
-   * would cost one more call its timeout.
+   * Replaces the pool after a call timed out, so that later calls get new connections. Connections tend to go
+   * silent together (a device on the network path dropped their state), and each old one that is kept would
+   * make one more call time out.
    */
-  const renewPool = (endpoint: number, stale: Pool): void => {
-    if (pools[endpoint] !== stale) return
+  const replacePool = (endpoint: number, stalePool: Pool): void => {
+    if (pools[endpoint] !== stalePool) return
     pools[endpoint] = openPool(options.endpoints[endpoint]!)
-    retired.add(stale)
-    stale.close().finally(() => retired.delete(stale))
+    closingPools.add(stalePool)
+    stalePool.close().finally(() => closingPools.delete(stalePool))
   }
 
   const call = async <T>(path: string, body: object): Promise<Result<T, StoreError>> => {
-    const endpoint = current
+    const endpoint = currentEndpoint
     const pool = pools[endpoint]!
     const timeout = new AbortController()
-    // One bound over connecting, headers and body: an answer that trickles in must not hold its caller up.
+    // One timeout covers connecting, headers and body, so that a slowly trickling response can't block the caller.
     const cancelTimeout = clock.schedule(callTimeoutMs, () => timeout.abort())
     try {
       const res = await pool.request({
@@ -82,13 +80,13 @@
         headers: { 'content-type': 'application/json' },
         signal: timeout.signal
       })
-      const answer = await res.body.json()
-      if (res.statusCode === 200) return Ok(answer as T)
-      if (res.statusCode >= 500) moveOn(endpoint)
-      return Err(errorOfAnswer(res.statusCode, answer as EtcdErrorBody))
+      const response = await res.body.json()
+      if (res.statusCode === 200) return Ok(response as T)
+      if (res.statusCode >= 500) useNextEndpoint(endpoint)
+      return Err(errorOfResponse(res.statusCode, response as EtcdErrorBody))
     } catch (err) {
-      if (timeout.signal.aborted) renewPool(endpoint, pool)
-      moveOn(endpoint)
+      if (timeout.signal.aborted) replacePool(endpoint, pool)
+      useNextEndpoint(endpoint)
       return Err(errorOfThrown(err))
     } finally {
       cancelTimeout()
@@ -97,60 +95,59 @@
 
   const store: Store = {
     get: async key => {
-      const answer = await call<EtcdRangeResponse>('/v3/kv/range', encodeRange(key, false))
-      return answer.map(range => (range.kvs ?? []).map(decodeKeyValue)[0])
+      const response = await call<EtcdRangeResponse>('/v3/kv/range', encodeRange(key, false))
+      return response.map(range => (range.kvs ?? []).map(decodeKeyValue)[0])
     },
     range: async prefix => {
-      const answer = await call<EtcdRangeResponse>('/v3/kv/range', encodeRange(prefix, true))
-      return answer.map(range => ({
+      const response = await call<EtcdRangeResponse>('/v3/kv/range', encodeRange(prefix, true))
+      return response.map(range => ({
         entries: (range.kvs ?? []).map(decodeKeyValue),
         revision: Number(range.header.revision)
       }))
     },
     transact: async transaction => {
-      const answer = await call<EtcdTxnResponse>('/v3/kv/txn', encodeTransaction(transaction))
-      return answer.map(txn => ({ succeeded: txn.succeeded === true, revision: Number(txn.header.revision) }))
+      const response = await call<EtcdTxnResponse>('/v3/kv/txn', encodeTransaction(transaction))
+      return response.map(txn => ({ succeeded: txn.succeeded === true, revision: Number(txn.header.revision) }))
     },
     grantLease: async ttlSeconds => {
-      const answer = await call<{ ID: string }>('/v3/lease/grant', { TTL: String(ttlSeconds) })
-      return answer.map(lease => lease.ID)
+      const response = await call<{ ID: string }>('/v3/lease/grant', { TTL: String(ttlSeconds) })
+      return response.map(lease => lease.ID)
     },
     renewLease: async leaseId => {
-      const answer = await call<{ result: { TTL?: string, header: EtcdHeader } }>('/v3/lease/keepalive', { ID: leaseId })
-      if (answer.err) return answer
-      const secondsLeft = Number(answer.val.result.TTL ?? 0)
+      const response = await call<{ result: { TTL?: string, header: EtcdHeader } }>('/v3/lease/keepalive', { ID: leaseId })
+      if (response.err) return response
+      const secondsLeft = Number(response.val.result.TTL ?? 0)
       return secondsLeft > 0 ? Ok(secondsLeft) : Err({ kind: 'lease-lost', message: `Lease ${leaseId} has lapsed.` })
     },
     revokeLease: async leaseId => {
-      const answer = await call<object>('/v3/lease/revoke', { ID: leaseId })
-      return answer.map(() => undefined)
+      const response = await call<object>('/v3/lease/revoke', { ID: leaseId })
+      return response.map(() => undefined)
     },
     watch: (prefix, handlers, signal) => {
-      const poolOf = (): Pool => watchPools[current]!
-      keepWatching(options, signal, () => runWatch({ store, pool: poolOf(), prefix, handlers, signal, clock, logger: options.logger }))
+      const currentPool = (): Pool => watchPools[currentEndpoint]!
+      maintainWatch(options, signal, () => runWatch({ store, pool: currentPool(), prefix, handlers, signal, clock, logger: options.logger }))
     }
   }
   const close = async (): Promise<void> => {
-    await Promise.all([...pools, ...retired, ...watchPools].map(pool => pool.destroy()))
+    await Promise.all([...pools, ...closingPools, ...watchPools].map(pool => pool.destroy()))
   }
   return { ...store, close }
 }
 
 /**
- * Begins a watch anew whenever it ends. Waits longer after each failure, and a random part of it: when
- * an outage ends, all watches of all instances would otherwise come back in the same half second, and
- * be an outage themselves.
+ * Restarts a watch whenever it ends, with exponential backoff and jitter. Without them, all watches of all
+ * instances would restart in the same half second after an outage, and overload the store again.
  */
-async function keepWatching (options: EtcdStoreOptions, signal: AbortSignal, once: () => Promise<string>): Promise<void> {
+async function maintainWatch (options: EtcdStoreOptions, signal: AbortSignal, runOnce: () => Promise<string>): Promise<void> {
   const { clock, logger, random = Math.random } = options
-  let waitMs = FIRST_RETRY_WATCH_MS
+  let retryDelayMs = MIN_WATCH_RETRY_DELAY_MS
   while (!signal.aborted) {
     const startedMs = clock.monotonic()
-    const reason = await once()
+    const reason = await runOnce()
     if (signal.aborted) return
     logger.debug('store-watch-ended', { reason })
-    if (clock.monotonic() - startedMs > LAST_RETRY_WATCH_MS) waitMs = FIRST_RETRY_WATCH_MS
-    await sleep(clock, waitMs * (0.5 + random() / 2), signal)
-    waitMs = Math.min(LAST_RETRY_WATCH_MS, waitMs * 2)
+    if (clock.monotonic() - startedMs > MAX_WATCH_RETRY_DELAY_MS) retryDelayMs = MIN_WATCH_RETRY_DELAY_MS
+    await sleep(clock, retryDelayMs * (0.5 + random() / 2), signal)
+    retryDelayMs = Math.min(MAX_WATCH_RETRY_DELAY_MS, retryDelayMs * 2)
   }
 }
--- a/packages/magnoliabay/src/node/store/etcdCodec.ts
+++ b/packages/magnoliabay/src/node/store/etcdCodec.ts
@@ -1,6 +1,4 @@
-/**
- * The JSON forms of the etcd v3 gateway: keys and values in base64, 64-bit numbers as strings.
- */
+/** Encodes and decodes the JSON of the etcd v3 gateway: keys and values in base64, 64-bit numbers as strings. */
 import type { Compare, KeyValue, Transaction, WatchEvent, WriteOperation } from './store'
 
 export interface EtcdHeader {
@@ -49,7 +47,7 @@
   return Buffer.from(text, 'base64').toString('utf8')
 }
 
-/** The end of the range that holds every key with `prefix`: its last byte raised by one. */
+/** Returns the exclusive end of the range of all keys with `prefix`: the prefix with its last byte raised by one, in base64. */
 export function prefixEnd (prefix: string): string {
   const bytes = Buffer.from(prefix, 'utf8')
   bytes[bytes.length - 1]! += 1
@@ -61,14 +59,14 @@
   return isPrefix ? { ...encoded, range_end: prefixEnd(key) } : encoded
 }
 
-const COMPARE_FORMS: Record<Compare['target'], (compare: Compare) => object> = {
+const COMPARE_ENCODERS: Record<Compare['target'], (compare: Compare) => object> = {
   create: compare => ({ target: 'CREATE', create_revision: String(compare.equals) }),
   mod: compare => ({ target: 'MOD', mod_revision: String(compare.equals) }),
   value: compare => ({ target: 'VALUE', value: toBase64(String(compare.equals)) })
 }
 
 function encodeCompare (compare: Compare): object {
-  return { key: toBase64(compare.key), result: 'EQUAL', ...COMPARE_FORMS[compare.target](compare) }
+  return { key: toBase64(compare.key), result: 'EQUAL', ...COMPARE_ENCODERS[compare.target](compare) }
 }
 
 function encodeWrite (write: WriteOperation): object {
--- a/packages/magnoliabay/src/node/store/etcdWatch.ts
+++ b/packages/magnoliabay/src/node/store/etcdWatch.ts
@@ -1,6 +1,4 @@
-/**
- * One watch on the gateway: a snapshot of the prefix, then events from the next revision on.
- */
+/** One watch on the gateway: a snapshot of the prefix, then events from the next revision on. */
 import type { Pool } from 'undici'
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
@@ -10,10 +8,10 @@
 import type { Store, WatchHandlers } from './store'
 
 /**
- * A watch that brought nothing for this long, not even a progress notice, is cut and begun anew.
- * Without it a watch whose connection the network has lost track of stays open and silent for good,
- * and this instance would go on with an old configuration. A new watch starts with a snapshot, so
- * nothing that was missed stays missed.
+ * A watch that received nothing for this long, not even a progress notice, is aborted and restarted.
+ * Otherwise a watch whose connection was dropped silently by the network would stay open forever, and
+ * this instance would keep an old configuration. A new watch starts with a snapshot, which contains
+ * the missed changes.
  */
 export const WATCH_IDLE_TIMEOUT_MS = 20_000
 
@@ -27,30 +25,30 @@
   logger: Logger
 }
 
-/** Runs until the watch ends, and tells why. Never rejects. */
+/** Runs until the watch ends, and returns the reason. Never rejects. */
 export async function runWatch (run: WatchRun): Promise<string> {
   const snapshot = await run.store.range(run.prefix, { priority: 'config' })
   if (snapshot.err) return snapshot.val.message
   if (run.signal.aborted) return 'no longer wanted'
-  guarded(run, run.prefix, () => run.handlers.onSnapshot(snapshot.val))
-  const over = new AbortController()
-  const listenOn = (): (() => void) => run.clock.schedule(WATCH_IDLE_TIMEOUT_MS, () => over.abort('silent'))
-  let cancelSilence = listenOn()
+  callHandler(run, run.prefix, () => run.handlers.onSnapshot(snapshot.val))
+  const ended = new AbortController()
+  const startIdleTimer = (): (() => void) => run.clock.schedule(WATCH_IDLE_TIMEOUT_MS, () => ended.abort('silent'))
+  let cancelIdleTimer = startIdleTimer()
   const onLine = (line: string): void => {
-    cancelSilence()
-    cancelSilence = listenOn()
+    cancelIdleTimer()
+    cancelIdleTimer = startIdleTimer()
     const message = parseJson(line) as EtcdWatchMessage | undefined
-    const end = message === undefined ? 'not JSON' : endOf(message)
-    if (end !== undefined) return over.abort(end)
-    deliver(run, message!)
+    const endReason = message === undefined ? 'not JSON' : endReasonOf(message)
+    if (endReason !== undefined) return ended.abort(endReason)
+    deliverEvents(run, message!)
   }
   try {
-    await readWatch(run, snapshot.val.revision + 1, AbortSignal.any([run.signal, over.signal]), onLine)
+    await readWatch(run, snapshot.val.revision + 1, AbortSignal.any([run.signal, ended.signal]), onLine)
     return 'ended by the store'
   } catch (err) {
-    return over.signal.aborted ? String(over.signal.reason) : messageOf(err)
+    return ended.signal.aborted ? String(ended.signal.reason) : messageOf(err)
   } finally {
-    cancelSilence()
+    cancelIdleTimer()
   }
 }
 
@@ -78,26 +76,27 @@
 }
 
 /**
- * Why a message ends the watch. The gateway keeps the connection open after it has cancelled a watch
- * (its start was compacted away), so without this the watch would hear nothing until it counts as silent.
+ * Returns why a message ends the watch, or undefined if it doesn't. The gateway keeps the connection open after it
+ * has cancelled a watch (its start revision was compacted), so without this check the watch would receive nothing
+ * until the idle timeout.
  */
-function endOf (message: EtcdWatchMessage): string | undefined {
+function endReasonOf (message: EtcdWatchMessage): string | undefined {
   if (message.error !== undefined) return message.error.message ?? 'refused'
   return message.result?.canceled === true ? 'cancelled by the store' : undefined
 }
 
-function deliver (run: WatchRun, message: EtcdWatchMessage): void {
+function deliverEvents (run: WatchRun, message: EtcdWatchMessage): void {
   const events = message.result?.events ?? []
-  events.map(decodeEvent).forEach(event => guarded(run, event.key, () => run.handlers.onEvent(event)))
+  events.map(decodeEvent).forEach(event => callHandler(run, event.key, () => run.handlers.onEvent(event)))
 }
 
 /**
- * A record that its reader chokes on would end the watch, be in the next snapshot as well, and so keep
- * every later change of that prefix from this instance. It is logged and passed over instead.
+ * Calls a handler; logs and skips a record for which it throws. Otherwise such a record would end the watch,
+ * be in the next snapshot as well, and keep every later change of the prefix from this instance.
  */
-function guarded (run: WatchRun, key: string, handle: () => void): void {
+function callHandler (run: WatchRun, key: string, handler: () => void): void {
   try {
-    handle()
+    handler()
   } catch (err) {
     run.logger.error('store-record-failed', { key, reason: messageOf(err) })
   }
