--- a/packages/magnoliabay/src/node/store/prefixWatches.ts
+++ b/packages/magnoliabay/src/node/store/prefixWatches.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps one watch going for each feed, and reads a feed anew where events may have been missed. A watch is trusted
- * only as long as nothing speaks against it: a store that falls silent never answers what waited there, and a
- * connection that the network has lost track of stays open and silent.
+ * Runs one watch at a time per key prefix, and reads the whole prefix again where events may have been missed. A watch
+ * is aborted and restarted when it may no longer get a response: a store that stops responding never answers the calls
+ * that were waiting there, and a connection that the network dropped silently stays open.
  */
 import type { Clock } from '../clock'
 import { repeat, sleep, delayToNextPeriod } from '../clock'
@@ -9,30 +9,30 @@
 import type { StoreConnectivity } from './connectivity'
 import type { StoreError, PrefixWatch } from './store'
 
-/** An answer may come this much after the end of the wait that was asked for, milliseconds. */
+/** How long after the requested wait a response may still arrive, in milliseconds. */
 const WATCH_GRACE_MS = 1000
-/** Pause after a call that failed, doubled with each further one: refused calls are paid for as well, milliseconds. */
-const RETRY_MS = 300
-const MAX_RETRY_MS = 1200
-/** How often a feed that rests looks whether it is wanted, or the store back, milliseconds: each look wakes the process. */
-const REST_MS = 250
-/** A store that is out of reach is asked for what there is, and answers at once when it is back, milliseconds. */
+/** Delay after a failed call, in milliseconds; doubled after each further one, since refused calls count against the limit as well. */
+const MIN_RETRY_DELAY_MS = 300
+const MAX_RETRY_DELAY_MS = 1200
+/** Interval at which a paused watch checks whether it is enabled or the store is back, in milliseconds. Each check wakes the process. */
+const IDLE_CHECK_INTERVAL_MS = 250
+/** Requested wait of a watch while the store is unreachable, in milliseconds: with 0 the store responds at once when it is back. */
 const PROBE_WAIT_MS = 0
-/** How often it is looked whether a watch has waited for too long, milliseconds. */
-const OVERDUE_CHECK_MS = REST_MS
+/** Interval of the check for watches that have waited too long, in milliseconds. */
+const OVERDUE_CHECK_INTERVAL_MS = IDLE_CHECK_INTERVAL_MS
 
 export interface WatchRequest {
-  /** The revision after which events are wanted. */
+  /** Revision after which events are requested. */
   after: number
-  /** How long the store is to wait for an event, milliseconds. */
+  /** How long the store waits for an event, in milliseconds. */
   waitMs: number
-  /** The call counts as lost after this, milliseconds. */
+  /** Timeout of the call, in milliseconds. */
   timeoutMs: number
-  /** Ends the call; nothing is concluded from it then. */
+  /** Aborts the call; its outcome then says nothing about the store. */
   signal: AbortSignal
 }
 
-/** How one call ended; `at` is the revision from which to go on. */
+/** How one call ended; `revision` is the one from which to continue. */
 export type WatchOutcome =
   | { kind: 'answered', revision: number, hadEvents: boolean }
   | { kind: 'history-gone' }
@@ -40,97 +40,97 @@
   | { kind: 'failed', err: StoreError }
 
 export interface WatchClient {
-  /** Reads the feed whole and hands it to its readers; the revision from which to watch, or undefined where a read failed. */
-  readAll (feed: PrefixWatch): Promise<number | undefined>
-  /** One call; events go to the feed's readers. */
-  watch (feed: PrefixWatch, call: WatchRequest): Promise<WatchOutcome>
+  /** Reads the whole prefix and passes it to its handlers. Returns the revision from which to watch, or undefined if a read failed. */
+  readAll (prefixWatch: PrefixWatch): Promise<number | undefined>
+  /** Makes one watch call and passes its events to the handlers of the prefix. */
+  watch (prefixWatch: PrefixWatch, call: WatchRequest): Promise<WatchOutcome>
 }
 
-export interface FeedsOptions {
+export interface PrefixWatchesOptions {
   client: WatchClient
   connectivity: Pick<StoreConnectivity, 'isReachable' | 'onChanged'>
   clock: Clock
   logger: Logger
 }
 
-/** Why a watch was ended here. */
-type CutReason = 'sent before the store was lost or back' | 'waits for longer than is now wanted' | 'stopped'
+/** Reason for which this instance aborted a watch. */
+type CutReason = 'sent before the store was lost or reachable again' | 'waits longer than is now configured' | 'stopped'
 
 interface OpenWatch {
-  feed: PrefixWatch
-  /** Monotonic milliseconds. */
+  prefixWatch: PrefixWatch
+  /** Time at which the call was sent, in monotonic milliseconds. */
   sentMs: number
-  cut: AbortController
+  controller: AbortController
 }
 
-interface Run extends FeedsOptions {
-  /** Watches that wait for an answer. */
-  open: Set<OpenWatch>
+interface RunContext extends PrefixWatchesOptions {
+  /** Watches that wait for a response. */
+  openWatches: Set<OpenWatch>
 }
 
-/** Runs until `signal` aborts. While the store is out of reach the first feed tries, and the others follow when it gets through. */
-export function runPrefixWatches (options: FeedsOptions, feeds: readonly PrefixWatch[], signal: AbortSignal): void {
-  const open = new Set<OpenWatch>()
-  const cutAll = (reason: CutReason): void => open.forEach(watch => watch.cut.abort(reason))
-  // A watch may have been sent to wait for longer than is wanted now, and nothing tells whether it is still heard: only
-  // a new one brings a change in time.
-  const cutOverdue = (): void => [...open]
-    .filter(({ feed, sentMs }) => options.clock.monotonic() - sentMs > feed.waitMs() + WATCH_GRACE_MS)
-    .forEach(watch => watch.cut.abort('waits for longer than is now wanted'))
-  // The answer to what was sent before the store was lost, or before it was back, may never come. Waiting on, an
-  // instance would go by old entries until that watch times out, though its other calls are answered. Whatever was
-  // lost in the outage is sent again here, from the revision that is known.
-  options.connectivity.onChanged(() => cutAll('sent before the store was lost or back'))
-  signal.addEventListener('abort', () => cutAll('stopped'), { once: true })
-  repeat(options.clock, OVERDUE_CHECK_MS, signal, cutOverdue)
-  feeds.forEach((feed, index) => { runFeed({ ...options, open }, feed, index === 0, signal) })
+/** Runs until `signal` aborts. While the store is unreachable, only the first watch retries; the others resume after it succeeds. */
+export function runPrefixWatches (options: PrefixWatchesOptions, prefixWatches: readonly PrefixWatch[], signal: AbortSignal): void {
+  const openWatches = new Set<OpenWatch>()
+  const abortAll = (reason: CutReason): void => openWatches.forEach(watch => watch.controller.abort(reason))
+  // A watch may have been sent with a longer wait than is configured now, and nothing shows whether its connection
+  // still works. Only a new watch delivers a change in time.
+  const abortOverdue = (): void => [...openWatches]
+    .filter(({ prefixWatch, sentMs }) => options.clock.monotonic() - sentMs > prefixWatch.waitMs() + WATCH_GRACE_MS)
+    .forEach(watch => watch.controller.abort('waits longer than is now configured'))
+  // A call that was sent before the store was lost, or before it was back, may never get a response. If it kept waiting,
+  // the instance would act on old entries until the watch times out, although its other calls succeed. The new watch
+  // continues from the last known revision and receives the events missed in the outage.
+  options.connectivity.onChanged(() => abortAll('sent before the store was lost or reachable again'))
+  signal.addEventListener('abort', () => abortAll('stopped'), { once: true })
+  repeat(options.clock, OVERDUE_CHECK_INTERVAL_MS, signal, abortOverdue)
+  prefixWatches.forEach((prefixWatch, index) => { runPrefixWatch({ ...options, openWatches }, prefixWatch, index === 0, signal) })
 }
 
-async function runFeed (run: Run, feed: PrefixWatch, isProber: boolean, signal: AbortSignal): Promise<void> {
-  const { client: calls, connectivity: reach, clock } = run
-  let at: number | undefined
-  let retryMs = RETRY_MS
-  let isFirst = feed.isReadAtStart ?? false
+async function runPrefixWatch (context: RunContext, prefixWatch: PrefixWatch, isProbing: boolean, signal: AbortSignal): Promise<void> {
+  const { client, connectivity, clock } = context
+  let revision: number | undefined
+  let retryDelayMs = MIN_RETRY_DELAY_MS
+  let isInitialReadDue = prefixWatch.isReadAtStart ?? false
   const pauseAfterFailure = async (): Promise<void> => {
-    await sleep(clock, retryMs, signal)
-    retryMs = Math.min(MAX_RETRY_MS, retryMs * 2)
+    await sleep(clock, retryDelayMs, signal)
+    retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2)
   }
   while (!signal.aborted) {
-    const isWanted = feed.isEnabled() || isFirst
-    if (!isWanted) at = undefined
-    if (!isWanted || (reach.isReachable() === false && !isProber)) {
-      await sleep(clock, delayToNextPeriod(clock, REST_MS), signal)
+    const isNeeded = prefixWatch.isEnabled() || isInitialReadDue
+    if (!isNeeded) revision = undefined
+    if (!isNeeded || (connectivity.isReachable() === false && !isProbing)) {
+      await sleep(clock, delayToNextPeriod(clock, IDLE_CHECK_INTERVAL_MS), signal)
       continue
     }
-    if (at === undefined) {
-      at = await calls.readAll(feed)
-      isFirst &&= at === undefined
-      if (at === undefined) await pauseAfterFailure()
+    if (revision === undefined) {
+      revision = await client.readAll(prefixWatch)
+      isInitialReadDue &&= revision === undefined
+      if (revision === undefined) await pauseAfterFailure()
       continue
     }
-    const end = await watchOnce(run, feed, at)
-    if (end.kind === 'cut') continue
-    if (end.kind === 'failed') {
+    const outcome = await watchOnce(context, prefixWatch, revision)
+    if (outcome.kind === 'cut') continue
+    if (outcome.kind === 'failed') {
       await pauseAfterFailure()
       continue
     }
-    retryMs = RETRY_MS
-    at = end.kind === 'answered' ? Math.max(at, end.revision) : undefined
-    if (end.kind === 'answered' && end.hadEvents) await sleep(clock, feed.batchDelayMs(), signal)
+    retryDelayMs = MIN_RETRY_DELAY_MS
+    revision = outcome.kind === 'answered' ? Math.max(revision, outcome.revision) : undefined
+    if (outcome.kind === 'answered' && outcome.hadEvents) await sleep(clock, prefixWatch.batchDelayMs(), signal)
   }
 }
 
-async function watchOnce ({ client: calls, connectivity: reach, open, clock, logger }: Run, feed: PrefixWatch, after: number): Promise<WatchOutcome> {
-  const waitMs = reach.isReachable() === false ? PROBE_WAIT_MS : feed.waitMs()
+async function watchOnce ({ client, connectivity, openWatches, clock, logger }: RunContext, prefixWatch: PrefixWatch, after: number): Promise<WatchOutcome> {
+  const waitMs = connectivity.isReachable() === false ? PROBE_WAIT_MS : prefixWatch.waitMs()
   const sentMs = clock.monotonic()
-  const cut = new AbortController()
-  const watch: OpenWatch = { feed, sentMs, cut }
-  open.add(watch)
-  const end = await calls.watch(feed, { after, waitMs, timeoutMs: waitMs + WATCH_GRACE_MS, signal: cut.signal })
-  open.delete(watch)
-  const told = { prefix: feed.prefix, after, waitMs, openMs: Math.round(clock.monotonic() - sentMs) }
-  if (end.kind === 'failed') logger.info('store-watch-lost', { ...told, reason: end.err.message })
-  if (end.kind === 'cut') logger.info('store-watch-cut', { ...told, reason: cut.signal.reason as CutReason })
-  if (end.kind === 'history-gone') logger.info('store-history-gone', { prefix: feed.prefix, after })
-  return end
+  const controller = new AbortController()
+  const openWatch: OpenWatch = { prefixWatch, sentMs, controller }
+  openWatches.add(openWatch)
+  const outcome = await client.watch(prefixWatch, { after, waitMs, timeoutMs: waitMs + WATCH_GRACE_MS, signal: controller.signal })
+  openWatches.delete(openWatch)
+  const logFields = { prefix: prefixWatch.prefix, after, waitMs, openMs: Math.round(clock.monotonic() - sentMs) }
+  if (outcome.kind === 'failed') logger.info('store-watch-lost', { ...logFields, reason: outcome.err.message })
+  if (outcome.kind === 'cut') logger.info('store-watch-cut', { ...logFields, reason: controller.signal.reason as CutReason })
+  if (outcome.kind === 'history-gone') logger.info('store-history-gone', { prefix: prefixWatch.prefix, after })
+  return outcome
 }
