--- a/packages/magnoliabay/src/node/store/connectivity.ts
+++ b/packages/magnoliabay/src/node/store/connectivity.ts
@@ -1,55 +1,59 @@
-/** Whether the store answers, by all calls of this instance together. */
+/** Tracks whether the store responds, from the outcomes of all store calls of this instance. */
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
 
 export interface StoreConnectivity {
-  /** Undefined before the first call has ended. */
+  /** Whether the last call got a response; undefined before the first call has ended. */
   isReachable (): boolean | undefined
-  /** Monotonic milliseconds of the last answer to anything. */
+  /** Time of the last response to any call, in monotonic milliseconds. */
   lastContactMs (): number
-  /** Since when the store has answered every call, monotonic milliseconds; -Infinity from the start on, Infinity while it does not. */
+  /**
+   * Time since which the store has responded to every call, in monotonic milliseconds. -Infinity if it has done so
+   * since the process started, Infinity while it does not respond.
+   */
   reachableSinceMs (): number
-  /** The listener is called when the store is lost, when it answers again, and when it has gone back to an older copy. */
+  /** Adds a listener for these changes: the store is lost, it responds again, or it has been restored from an older copy. */
   onChanged (listener: () => void): void
-  /** To be told how each call ended; `call` names it for the log. */
+  /** Records how a call ended; `call` names it in the log. */
   recordCall (reached: boolean, call: string, reason: string): void
   /**
-   * The store answers, from an older copy of itself: what it has lacks whatever was written since, until that is written
-   * again. As after an outage, what waits for an answer is asked anew, and what is missing counts as not known yet.
+   * Records that the store was restored from an older copy. It lacks what was written after that copy, until it is
+   * written again. As after an outage, calls that wait for a response are sent again, and an entry that is missing
+   * counts as unknown, not as deleted.
    */
   recordRollback (): void
 }
 
-export interface ReachOptions {
+export interface StoreConnectivityOptions {
   /** For the log. */
   address: string
   clock: Clock
   logger: Logger
 }
 
-export function createStoreConnectivity ({ address, clock, logger }: ReachOptions): StoreConnectivity {
+export function createStoreConnectivity ({ address, clock, logger }: StoreConnectivityOptions): StoreConnectivity {
   let lastContactMs = -Infinity
   let isReachable: boolean | undefined
-  let steadySinceMs = Infinity
+  let reachableSinceMs = Infinity
   const listeners: Array<() => void> = []
 
   return {
     onChanged: listener => { listeners.push(listener) },
     isReachable: () => isReachable,
     lastContactMs: () => lastContactMs,
-    reachableSinceMs: () => steadySinceMs,
+    reachableSinceMs: () => reachableSinceMs,
     recordCall: (reached, call, reason) => {
       if (reached) lastContactMs = clock.monotonic()
       if (reached === isReachable) return
-      // The first contact of a process says nothing of the store having been away.
+      // The first contact of a process doesn't mean that the store was unreachable before.
       const isFirst = isReachable === undefined
       isReachable = reached
-      steadySinceMs = reached ? (isFirst ? -Infinity : clock.monotonic()) : Infinity
+      reachableSinceMs = reached ? (isFirst ? -Infinity : clock.monotonic()) : Infinity
       logger.info(reached ? 'store-reached' : 'store-lost', { address, call, reason })
       listeners.forEach(listener => listener())
     },
     recordRollback: () => {
-      if (isReachable !== false) steadySinceMs = clock.monotonic()
+      if (isReachable !== false) reachableSinceMs = clock.monotonic()
       listeners.forEach(listener => listener())
     }
   }
