--- a/packages/magnoliabay/src/node/store/eras.ts
+++ b/packages/magnoliabay/src/node/store/eras.ts
@@ -1,25 +1,26 @@
 /**
- * Numbers of a store that may go on from an older copy of itself. It then gives the same revisions and lease numbers out
- * again, and only its era, which it tells with each answer, keeps the two apart. So a revision here is ordered over all
- * eras, and a lease's id names its era: what rests on an earlier one is known for what it is wherever it turns up.
+ * Revisions and lease ids of a store that may be restored from an older copy. After a restore it assigns the same
+ * revisions and lease numbers again; only its era, which each response contains, distinguishes them. Revisions here
+ * include the era and are ordered over all eras, and a lease id names its era, so that a value from an earlier era
+ * is recognised everywhere.
  */
 
 import type { Compare } from './store'
 
-/** Far above any revision: at a thousand changes a second it is reached in thirty years. */
+/** Above any revision of one era: 1000 changes per second reach it after about 30 years. */
 const REVISIONS_PER_ERA = 2 ** 40
 
-/** 0, which stands for no revision, stays 0. */
+/** Combines era and stored revision. 0, which means no revision, stays 0. */
 export function toRevision (era: number, stored: number): number {
   return stored === 0 ? 0 : era * REVISIONS_PER_ERA + stored
 }
 
-/** Of a revision or of the time before any, 0. */
+/** Returns the era of a revision; 0 for revision 0, which means none. */
 export function eraOfRevision (revision: number): number {
   return Math.floor(revision / REVISIONS_PER_ERA)
 }
 
-/** Of the revision that a condition names; undefined where it names none. */
+/** Returns the era of the revision that a compare names; undefined if it names none. */
 export function eraOfCompare ({ target, equals }: Compare): number | undefined {
   return target === 'value' || typeof equals !== 'number' || equals === 0 ? undefined : eraOfRevision(equals)
 }
--- a/packages/magnoliabay/src/node/store/index.ts
+++ b/packages/magnoliabay/src/node/store/index.ts
@@ -1,4 +1,4 @@
-/** What the platform gives: a key-value service and a list of instances. */
+/** Clients of the platform's key-value service and instance list. */
 export { createEtcdStore } from './etcd'
 export { createBudgetedStore } from './budget'
 export type { StoreCallReport } from './budget'
--- a/packages/magnoliabay/src/node/store/instanceList.ts
+++ b/packages/magnoliabay/src/node/store/instanceList.ts
@@ -1,6 +1,4 @@
-/**
- * The platform's list of live and leaving instances. It lags, and errs toward *alive*.
- */
+/** The platform's list of live and leaving instances. It lags: an instance that has ended may still be listed. */
 import type { Result } from '../result'
 
 export type InstanceRole = 'entry' | 'engine' | 'service'
@@ -14,9 +12,9 @@
   failureDomain: string
   region: string
   status: InstanceStatus
-  /** Name of the plain service that a `service` instance serves. */
+  /** Role `service` only: name of the plain service that the instance serves. */
   service?: string
-  /** Engines only: whether orders with an old fencing number are refused. */
+  /** Engines only: whether the engine refuses orders with an old fencing number. */
   checksFence?: boolean
   /** Engines only: memory for models and adapters, in MiB. */
   memoryMiB?: number
--- a/packages/magnoliabay/src/node/store/instanceListClient.ts
+++ b/packages/magnoliabay/src/node/store/instanceListClient.ts
@@ -1,4 +1,4 @@
-/** Client of the platform's instance list: `GET` of one URL gives `{ "instances": [...] }`. */
+/** Client of the platform's instance list: `GET` of its URL returns `{ "instances": [...] }`. */
 import { request } from 'undici'
 import { Err, Ok } from '../result'
 import { messageOf } from '../utils'
@@ -13,7 +13,7 @@
         const res = await request(url, { headersTimeout: READ_TIMEOUT_MS, bodyTimeout: READ_TIMEOUT_MS })
         const body = await res.body.json() as { instances?: ListedInstance[] }
         if (res.statusCode !== 200) return Err({ kind: 'unavailable', message: `The instance list answered with status ${res.statusCode}.` })
-        if (!Array.isArray(body.instances)) return Err({ kind: 'invalid', message: 'The instance list holds no `instances` array.' })
+        if (!Array.isArray(body.instances)) return Err({ kind: 'invalid', message: 'The instance list has no `instances` array.' })
         return Ok(body.instances)
       } catch (err) {
         return Err({ kind: 'unavailable', message: messageOf(err) })
--- a/packages/magnoliabay/src/node/store/store.ts
+++ b/packages/magnoliabay/src/node/store/store.ts
@@ -1,17 +1,17 @@
 /**
- * The platform's key-value service, as the product uses it: compare-and-swap, leases and watches.
- * `etcd.ts` speaks to etcd, `platform/` to the users' store; tests use the stand-in's state directly.
+ * Interface of the platform's key-value service: compare-and-swap, leases and watches.
+ * `etcd.ts` implements it for etcd, `platform/` for the users' store; tests use the stand-in's state directly.
  */
 import type { Result } from '../result'
 
 export interface KeyValue {
   key: string
   value: string
-  /** Revision at which the key was created. Grows over the whole store; used as a fencing number. */
+  /** Revision at which the key was created. Revisions increase over the whole store, so this serves as a fencing number. */
   createRevision: number
   /** Revision of the last change of the key. */
   modRevision: number
-  /** Lease the key hangs on, or '0'. */
+  /** Id of the lease with which the key expires, or '0' for none. */
   leaseId: string
 }
 
@@ -52,17 +52,17 @@
 
 export interface RangeResult {
   entries: readonly KeyValue[]
-  /** Revision at which the range was read; watch from the next one. */
+  /** Revision at which the range was read; a watch starts from the next one. */
   revision: number
 }
 
 /**
- * `unavailable`: certainly not carried out (never connected, or refused as such).
- * `unknown`: the answer was lost, so the call may or may not have taken effect.
- * `over-budget`: not sent, since this instance's own share of the service's rate is spent.
- * `lease-lost`: the lease named does not exist any more.
- * `invalid`: the service refused the call itself.
- * `given-up`: this instance ended the call, which says nothing of the service.
+ * `unavailable`: certainly not carried out (no connection, or refused by the service before it started).
+ * `unknown`: the response was lost, so the call may or may not have taken effect.
+ * `over-budget`: not sent, since this instance's budget of store calls is exhausted.
+ * `lease-lost`: the named lease does not exist any more.
+ * `invalid`: the service rejected the call as invalid.
+ * `given-up`: this instance aborted the call, which says nothing about the service.
  */
 export type StoreErrorKind = 'unavailable' | 'unknown' | 'over-budget' | 'lease-lost' | 'invalid' | 'given-up'
 
@@ -83,27 +83,27 @@
 
 export interface WatchHandlers {
   onEvent: (event: WatchEvent) => void
-  /** The watch fell too far behind (or was begun anew): the whole prefix as it is now, in place of events. */
+  /** Receives the whole prefix as it is now, when the watch starts, restarts, or has fallen too far behind for events. */
   onSnapshot: (snapshot: RangeResult) => void
 }
 
-/** A part of the keys that is watched by one call at a time, since the service counts each that waits. */
+/** A watch of a key prefix by one call at a time, since the service counts each call that waits. */
 export interface PrefixWatch {
   prefix: string
-  /** While it is not, nothing is read; when it is again, everything is read anew. */
+  /** While false, nothing is read; when it becomes true, the whole prefix is read again. */
   isEnabled: () => boolean
   /**
-   * Read once at the start, whether or not it is wanted.
+   * Whether the prefix is read once at the start even if the watch is not enabled.
    * @default false
    */
   isReadAtStart?: boolean
-  /** Pause after a watch that brought events, milliseconds: what changes meanwhile comes in one answer instead of many. */
+  /** Delay after a watch that returned events, in milliseconds; changes made meanwhile arrive in one response instead of many. */
   batchDelayMs: () => number
-  /** How long one call waits for events, milliseconds. Longer waits cost fewer calls; a watch gone silent is noticed this much later. */
+  /** How long one call waits for events, in milliseconds. Longer waits need fewer calls, but detect a silent watch later. */
   waitMs: () => number
 }
 
-/** What a call is for; the budget serves the first of these first. */
+/** Purpose of a call, in descending priority in the budget. */
 export type StorePriority = 'config' | 'ownership' | 'once' | 'ledger'
 
 export interface StoreCallOptions {
@@ -117,12 +117,12 @@
   transact (transaction: Transaction, options?: StoreCallOptions): StoreResult<TransactionResult>
   /** Grants a lease of `ttlSeconds` and returns its id. */
   grantLease (ttlSeconds: number): StoreResult<string>
-  /** Renews a lease once; the value is the seconds left. `lease-lost` when it has lapsed. */
+  /** Renews a lease once and returns the seconds left. Fails with `lease-lost` when it has expired. */
   renewLease (leaseId: string): StoreResult<number>
   revokeLease (leaseId: string): StoreResult<void>
   /**
    * Watches a prefix until `signal` aborts: one snapshot first, then events, across reconnects.
-   * A silent watch is re-issued by the client itself.
+   * The client restarts a silent watch by itself.
    */
   watch (prefix: string, handlers: WatchHandlers, signal: AbortSignal): void
 }
