--- a/packages/magnoliabay/src/node/config/plan.ts
+++ b/packages/magnoliabay/src/node/config/plan.ts
@@ -1,4 +1,4 @@
-/** What a change would do: entries added, changed and removed at each site, and what follows from that. */
+/** Plans a change: the entries added, changed and removed at each site, and their effects. */
 import { resolveFleet } from './resolveFleet'
 import type { ResolvedFleet } from './resolveFleet'
 import { ENTRY_KINDS } from './documentBody'
@@ -11,7 +11,7 @@
 
 export interface FieldChange {
   field: string
-  /** Undefined when it was not there. */
+  /** Undefined if the field was not set. */
   before?: unknown
   after?: unknown
 }
@@ -36,7 +36,7 @@
   | { kind: 'keys-stop', team: string, keys: readonly string[] }
   | { kind: 'over-capacity', tokensPerSecond: number, capacityTokensPerSecond: number }
 
-/** What the fleet looks like now, as far as effects depend on it. */
+/** Current replicas and keys of the fleet, on which effects depend. */
 export interface CurrentUsage {
   replicasOf (model: string): number
   keysOf (team: string): readonly string[]
@@ -44,11 +44,11 @@
 
 export interface Plan {
   sites: SitePlan[]
-  /** Why the change would be refused. */
+  /** Problems for which the change would be refused. */
   problems: ConfigProblem[]
 }
 
-/** Bodies by document, as they are and as they would be. */
+/** Bodies by document, before and after the change. */
 export interface PlanInput {
   before: ReadonlyMap<string, DocumentBody>
   after: ReadonlyMap<string, DocumentBody>
@@ -56,7 +56,7 @@
 
 type Entry = Readonly<Record<string, unknown>> & { name: string }
 
-export function planChange ({ before, after }: PlanInput, facts: CurrentUsage): Plan {
+export function planChange ({ before, after }: PlanInput, usage: CurrentUsage): Plan {
   const base = after.get(BASE_DOCUMENT)
   if (base === undefined) return { sites: [], problems: [{ file: 'base.toml', path: '', found: 'no base', allowed: 'a base before any overlay' }] }
   const documents = [BASE_DOCUMENT, ...[...after.keys()].filter(document => document !== BASE_DOCUMENT)]
@@ -69,7 +69,7 @@
     }
     const previous = resolvedBefore(before, document)
     const changes = diffFleets(previous, next.val)
-    return [{ site: document.replace(/^sites\//, ''), changes, effects: effectsOf(changes, next.val, facts) }]
+    return [{ site: document.replace(/^sites\//, ''), changes, effects: effectsOf(changes, next.val, usage) }]
   })
   return { sites, problems }
 }
@@ -86,12 +86,12 @@
 
 export function diffFleets (before: ResolvedFleet | undefined, after: ResolvedFleet): EntryChange[] {
   const old = before?.fleet
-  const wide = old === undefined ? [] : fieldChanges(wideFields(old), wideFields(after.fleet))
-  const fleetWide: EntryChange[] = wide.length === 0 ? [] : [{ kind: 'fleet', name: 'fleet', change: 'changed', fields: wide }]
+  const wideChanges = old === undefined ? [] : fieldChanges(fleetWideFields(old), fleetWideFields(after.fleet))
+  const fleetWide: EntryChange[] = wideChanges.length === 0 ? [] : [{ kind: 'fleet', name: 'fleet', change: 'changed', fields: wideChanges }]
   return [...fleetWide, ...ENTRY_KINDS.flatMap(kind => changesOfKind(kind, old?.[kind] ?? [], after.fleet[kind]))]
 }
 
-function wideFields ({ team, model, adapter, service, ...wide }: FleetConfig): Record<string, unknown> {
+function fleetWideFields ({ team, model, adapter, service, ...wide }: FleetConfig): Record<string, unknown> {
   return wide
 }
 
@@ -99,10 +99,10 @@
   const old = new Map(before.map(entry => [entry.name, entry]))
   const names = new Set(after.map(entry => entry.name))
   const addedOrChanged = after.flatMap((entry): EntryChange[] => {
-    const was = old.get(entry.name)
-    if (was === entry) return []
-    const fields = fieldChanges(was ?? {}, entry)
-    if (was === undefined) return [{ kind, name: entry.name, change: 'added', fields }]
+    const previous = old.get(entry.name)
+    if (previous === entry) return []
+    const fields = fieldChanges(previous ?? {}, entry)
+    if (previous === undefined) return [{ kind, name: entry.name, change: 'added', fields }]
     return fields.length === 0 ? [] : [{ kind, name: entry.name, change: 'changed', fields }]
   })
   const removed = before.filter(entry => !names.has(entry.name))
@@ -117,15 +117,15 @@
     .map(field => ({ field, before: before[field], after: after[field] }))
 }
 
-function effectsOf (changes: readonly EntryChange[], after: ResolvedFleet, facts: CurrentUsage): PlanEffect[] {
+function effectsOf (changes: readonly EntryChange[], after: ResolvedFleet, usage: CurrentUsage): PlanEffect[] {
   const removed = (kind: EntryKind): EntryChange[] => changes.filter(change => change.kind === kind && change.change === 'removed')
   const evicted = removed('model')
-    .map(({ name }): PlanEffect => ({ kind: 'model-evicted', model: name, replicas: facts.replicasOf(name) }))
+    .map(({ name }): PlanEffect => ({ kind: 'model-evicted', model: name, replicas: usage.replicasOf(name) }))
   const reloaded = changes
     .filter(({ kind, change, fields }) => kind === 'model' && change === 'changed' && fields.some(({ field }) => field === 'version'))
-    .map(({ name }): PlanEffect => ({ kind: 'model-reloaded', model: name, version: after.models.get(name)!.version, replicas: facts.replicasOf(name) }))
+    .map(({ name }): PlanEffect => ({ kind: 'model-reloaded', model: name, version: after.models.get(name)!.version, replicas: usage.replicasOf(name) }))
   const stopped = removed('team')
-    .map(({ name }): PlanEffect => ({ kind: 'keys-stop', team: name, keys: facts.keysOf(name) }))
+    .map(({ name }): PlanEffect => ({ kind: 'keys-stop', team: name, keys: usage.keysOf(name) }))
   return [...evicted, ...reloaded, ...stopped, ...capacityEffect(after)]
 }
 
@@ -138,7 +138,7 @@
 
 const EFFECT_TEXTS: { [Kind in PlanEffect['kind']]: (effect: Extract<PlanEffect, { kind: Kind }>) => string } = {
   'model-evicted': ({ model, replicas }) => `${model} is unloaded (${replicas} replicas now); requests for it are refused`,
-  'model-reloaded': ({ model, version, replicas }) => `${model} is loaded anew at version ${version} (${replicas} replicas now)`,
+  'model-reloaded': ({ model, version, replicas }) => `${model} is reloaded at version ${version} (${replicas} replicas now)`,
   'keys-stop': ({ team, keys }) => `keys of ${team} stop working: ${keys.length === 0 ? 'it has none' : keys.join(', ')}`,
   'over-capacity': ({ tokensPerSecond, capacityTokensPerSecond }) => `the teams' rates add up to ${tokensPerSecond} tokens/s, over the capacity of ${capacityTokensPerSecond}`
 }
--- a/packages/magnoliabay/src/node/config/resolveFleet.ts
+++ b/packages/magnoliabay/src/node/config/resolveFleet.ts
@@ -1,6 +1,4 @@
-/**
- * The base and a site's overlay, resolved into what an instance acts on, and checked as a whole.
- */
+/** Resolves the base and a site's overlay into the configuration of an instance, and checks it as a whole. */
 import type * as v from 'valibot'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
@@ -19,7 +17,7 @@
   models: ReadonlyMap<string, ModelConfig>
   services: ReadonlyMap<string, ServiceConfig>
   adapter (name: string): AdapterConfig | undefined
-  /** What the adapters were made from and checked with: equal buckets need no second look. */
+  /** Inputs from which the adapters were resolved and checked; equal inputs need no second check. */
   adapterSource: AdapterSource
 }
 
@@ -27,22 +25,22 @@
   base: readonly AdapterBucket[]
   overlay: readonly AdapterBucket[]
   without: string
-  /** Names of the models that the adapters were checked against. */
+  /** Names of the models against which the adapters were checked. */
   models: string
 }
 
 interface Named { name: string }
 
-/** An entry with the place that operators look at when it is wrong. */
-interface Placed<T extends Named> {
+/** An entry with its file and path, which problems report. */
+interface LocatedEntry<T extends Named> {
   entry: T
   file: string
   path: string
 }
 
-const ANY = '*'
+const ANY_NAME = '*'
 
-/** `previous` is what was resolved before: what has not changed since is taken from there. */
+/** Resolves base and overlay. Adapters that have not changed are reused from `previous`, the fleet resolved before. */
 export function resolveFleet (base: DocumentBody, overlay: DocumentBody | undefined, previous?: ResolvedFleet): Result<ResolvedFleet, ConfigError> {
   const problems: ConfigProblem[] = []
   const teams = resolveKind<TeamConfig>('team', teamSchema, base, overlay, problems)
@@ -50,28 +48,28 @@
   const services = resolveKind<ServiceConfig>('service', serviceSchema, base, overlay, problems)
   const { adapter: withoutAdapters = [] } = overlay?.core.without ?? {}
   const adapterSource: AdapterSource = { base: base.adapters, overlay: overlay?.adapters ?? [], without: withoutAdapters.join(' '), models: [...models.keys()].join(' ') }
-  const known = previous !== undefined && sameSource(previous.adapterSource, adapterSource) ? previous : undefined
-  const adapters = known !== undefined
-    ? { list: known.fleet.adapter, find: known.adapter }
+  const reusable = previous !== undefined && areSourcesEqual(previous.adapterSource, adapterSource) ? previous : undefined
+  const adapters = reusable !== undefined
+    ? { list: reusable.fleet.adapter, find: reusable.adapter }
     : resolveAdapters(base, overlay, new Set(withoutAdapters), problems)
 
   problems.push(
     ...checkWithout(base, overlay),
-    ...(known?.adapterSource.models === adapterSource.models ? [] : checkModelsOfAdapters(base, overlay, models, adapters.list)),
+    ...(reusable?.adapterSource.models === adapterSource.models ? [] : checkModelsOfAdapters(base, overlay, models, adapters.list)),
     ...checkCallNames(base, overlay, models, services, adapters.find),
-    ...checkAllowed(base, overlay)
+    ...checkAllowLists(base, overlay)
   )
   if (problems.length > 0) return Err({ kind: 'schema', problems })
-  const wide = checkConfig(documentFileName(base.document), {
+  const fleetWide = checkConfig(documentFileName(base.document), {
     cells: overlay?.core.cells ?? base.core.cells,
     capacityTokensPerSecond: overlay?.core.capacityTokensPerSecond ?? base.core.capacityTokensPerSecond,
     coldStartWorth: overlay?.core.coldStartWorth ?? base.core.coldStartWorth,
     weightStore: { ...base.core.weightStore, ...overlay?.core.weightStore },
     objective: { ...base.core.objective, ...overlay?.core.objective }
   }, fleetSchema)
-  if (wide.err) return wide
+  if (fleetWide.err) return fleetWide
   const fleet: FleetConfig = {
-    ...wide.val,
+    ...fleetWide.val,
     team: [...teams.values()],
     model: [...models.values()],
     service: [...services.values()],
@@ -82,11 +80,11 @@
 
 function resolveKind<T extends Named> (kind: 'team' | 'model' | 'service', schema: v.GenericSchema, base: DocumentBody, overlay: DocumentBody | undefined, problems: ConfigProblem[]): Map<string, T> {
   const without = new Set(overlay?.core.without?.[kind] ?? [])
-  const merged = new Map<string, Placed<Named>>()
-  placed(base, kind).filter(({ entry }) => !without.has(entry.name)).forEach(item => merged.set(item.entry.name, item))
-  placed(overlay, kind).forEach(item => {
-    const below = merged.get(item.entry.name)?.entry
-    merged.set(item.entry.name, { ...item, entry: { ...below, ...item.entry } })
+  const merged = new Map<string, LocatedEntry<Named>>()
+  locatedEntries(base, kind).filter(({ entry }) => !without.has(entry.name)).forEach(item => merged.set(item.entry.name, item))
+  locatedEntries(overlay, kind).forEach(item => {
+    const baseEntry = merged.get(item.entry.name)?.entry
+    merged.set(item.entry.name, { ...item, entry: { ...baseEntry, ...item.entry } })
   })
   const resolved = [...merged.values()].flatMap(item => {
     const checked = checkConfig(item.file, item.entry, schema)
@@ -97,7 +95,7 @@
   return new Map(resolved.map(item => [item.name, item]))
 }
 
-function placed (body: DocumentBody | undefined, kind: 'team' | 'model' | 'service'): Array<Placed<Named>> {
+function locatedEntries (body: DocumentBody | undefined, kind: 'team' | 'model' | 'service'): Array<LocatedEntry<Named>> {
   if (body === undefined) return []
   return (body.core[kind] ?? []).map((entry, index) => ({ entry, file: documentFileName(body.document), path: `${kind}.${index}` }))
 }
@@ -134,11 +132,11 @@
   return buckets[bucketOf(name, buckets.length)]!.byName.get(name)
 }
 
-function sameSource (left: AdapterSource, right: AdapterSource): boolean {
-  return left.without === right.without && sameBuckets(left.base, right.base) && sameBuckets(left.overlay, right.overlay)
+function areSourcesEqual (left: AdapterSource, right: AdapterSource): boolean {
+  return left.without === right.without && areBucketsEqual(left.base, right.base) && areBucketsEqual(left.overlay, right.overlay)
 }
 
-function sameBuckets (left: readonly AdapterBucket[], right: readonly AdapterBucket[]): boolean {
+function areBucketsEqual (left: readonly AdapterBucket[], right: readonly AdapterBucket[]): boolean {
   return left.length === right.length && left.every((bucket, index) => bucket.digest === right[index]!.digest)
 }
 
@@ -147,13 +145,13 @@
   const file = documentFileName(overlay.document)
   return ENTRY_KINDS.flatMap(kind => (overlay.core.without?.[kind] ?? []).flatMap((name, index): ConfigProblem[] => {
     const path = `without.${kind}.${index}`
-    if (!has(base, kind, name)) return [{ file, path, found: name, allowed: `a ${kind} of ${documentFileName(base.document)}` }]
-    if (has(overlay, kind, name)) return [{ file, path, found: `${name}, which this file also names as ${kind}`, allowed: 'one of the two' }]
+    if (!hasEntry(base, kind, name)) return [{ file, path, found: name, allowed: `a ${kind} of ${documentFileName(base.document)}` }]
+    if (hasEntry(overlay, kind, name)) return [{ file, path, found: `${name}, which this file also names as ${kind}`, allowed: 'one of the two' }]
     return []
   }))
 }
 
-function has (body: DocumentBody, kind: EntryKind, name: string): boolean {
+function hasEntry (body: DocumentBody, kind: EntryKind, name: string): boolean {
   if (kind === 'adapter') return findAdapter(body.adapters, name) !== undefined
   return (body.core[kind] ?? []).some(entry => entry.name === name)
 }
@@ -161,12 +159,12 @@
 function checkModelsOfAdapters (base: DocumentBody, overlay: DocumentBody | undefined, models: ReadonlyMap<string, ModelConfig>, adapters: readonly AdapterConfig[]): ConfigProblem[] {
   const withoutModels = new Set(overlay?.core.without?.model ?? [])
   return adapters.filter(adapter => !models.has(adapter.model)).map(adapter => {
-    const owner = overlay !== undefined && (withoutModels.has(adapter.model) || has(overlay, 'adapter', adapter.name)) ? overlay : base
-    return { file: documentFileName(owner.document), path: `adapter ${adapter.name}.model`, found: adapter.model, allowed: 'a model that holds at this site' }
+    const owner = overlay !== undefined && (withoutModels.has(adapter.model) || hasEntry(overlay, 'adapter', adapter.name)) ? overlay : base
+    return { file: documentFileName(owner.document), path: `adapter ${adapter.name}.model`, found: adapter.model, allowed: 'a model that exists at this site' }
   })
 }
 
-/** Callers name models, adapters and services the same way, so no two of them may share a name. */
+/** Reports names used twice. Callers name models, adapters and services in the same way, so no two of them may share a name. */
 function checkCallNames (base: DocumentBody, overlay: DocumentBody | undefined, models: ReadonlyMap<string, ModelConfig>, services: ReadonlyMap<string, ServiceConfig>, adapter: ResolvedAdapters['find']): ConfigProblem[] {
   const file = documentFileName((overlay ?? base).document)
   const taken = [...models.keys(), ...services.keys()].filter(name => adapter(name) !== undefined)
@@ -174,11 +172,11 @@
   return [...taken, ...twice].map(name => ({ file, path: name, found: 'two of model, adapter and service with this name', allowed: 'one' }))
 }
 
-/** A name that stands in neither file is a slip of the pen; one that this site goes without is not. */
-function checkAllowed (base: DocumentBody, overlay: DocumentBody | undefined): ConfigProblem[] {
+/** Reports allowed names that neither file defines, since these are typing errors. A name that the site's overlay removes is not reported. */
+function checkAllowLists (base: DocumentBody, overlay: DocumentBody | undefined): ConfigProblem[] {
   const bodies = overlay === undefined ? [base] : [base, overlay]
-  const isKnown = (name: string): boolean => name === ANY ||
-    bodies.some(body => (['model', 'adapter', 'service'] as const).some(kind => has(body, kind, name)))
+  const isKnown = (name: string): boolean => name === ANY_NAME ||
+    bodies.some(body => (['model', 'adapter', 'service'] as const).some(kind => hasEntry(body, kind, name)))
   return bodies.flatMap(body => (body.core.team ?? []).flatMap((team, index) => (team.allow ?? [])
     .filter(name => !isKnown(name))
     .map(name => ({ file: documentFileName(body.document), path: `team.${index}.allow`, found: name, allowed: 'a model, an adapter, a service, or *' }))))
--- a/packages/magnoliabay/src/node/config/schema.ts
+++ b/packages/magnoliabay/src/node/config/schema.ts
@@ -1,6 +1,4 @@
-/**
- * Checking TOML against a schema: every problem names the file, the path, what was found and what is allowed.
- */
+/** Checks TOML against a schema. Every problem names the file, the path, what was found and what is allowed. */
 import { parse as parseToml, TomlError } from 'smol-toml'
 import * as v from 'valibot'
 import { Err, Ok } from '../result'
@@ -42,8 +40,8 @@
   }
 }
 
-/** Kinds of checks whose schemas say in words what is allowed; what valibot expects there is code. */
-const CHECKS_IN_WORDS: ReadonlySet<string> = new Set(['regex', 'url', 'check'])
+/** Types of checks whose schemas have a message of their own; valibot's `expected` is code there. */
+const CHECKS_WITH_OWN_MESSAGE: ReadonlySet<string> = new Set(['regex', 'url', 'check'])
 
 function problemOf (file: string, issue: v.BaseIssue<unknown>, schema: v.GenericSchema): ConfigProblem {
   const keys = issue.path?.map(item => String(item.key)) ?? []
@@ -52,10 +50,10 @@
     return { file, path, found: `unknown key ${issue.received}`, allowed: keysAllowedAt(schema, keys.slice(0, -1)) }
   }
   if (issue.type === 'strict_object' && issue.received === 'undefined') return { file, path, found: 'nothing', allowed: `a value for ${issue.expected}` }
-  return { file, path, found: issue.received, allowed: CHECKS_IN_WORDS.has(issue.type) ? issue.message : issue.expected ?? issue.message }
+  return { file, path, found: issue.received, allowed: CHECKS_WITH_OWN_MESSAGE.has(issue.type) ? issue.message : issue.expected ?? issue.message }
 }
 
-/** The parts of valibot's schemas that lead to the objects inside. */
+/** The properties of valibot's schemas that contain nested schemas. */
 interface SchemaNode {
   wrapped?: SchemaNode
   item?: SchemaNode
