--- a/packages/magnoliabay/src/node/config/documentBody.ts
+++ b/packages/magnoliabay/src/node/config/documentBody.ts
@@ -1,6 +1,4 @@
-/**
- * A document's content: what operators wrote, checked for form, in the shape in which it is kept.
- */
+/** Content of a document: encodes, decodes and checks what operators wrote. */
 import * as v from 'valibot'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
@@ -13,9 +11,9 @@
 import { checkConfig } from './schema'
 import type { ConfigError, ConfigProblem } from './schema'
 
-type Partly<T extends { name: string }> = Partial<T> & { name: string }
+type PartialEntry<T extends { name: string }> = Partial<T> & { name: string }
 
-/** Everything of a document but its adapters, as written: defaults are filled in when it is resolved. */
+/** A document without its adapters, as written; defaults are applied when it is resolved. */
 export interface DocumentCore {
   cells?: number
   capacityTokensPerSecond?: number
@@ -23,15 +21,15 @@
   weightStore?: Partial<FleetConfig['weightStore']>
   objective?: Partial<FleetConfig['objective']>
   without?: Partial<Record<EntryKind, string[]>>
-  team?: Array<Partly<TeamConfig>>
-  model?: Array<Partly<ModelConfig>>
-  service?: Array<Partly<ServiceConfig>>
+  team?: Array<PartialEntry<TeamConfig>>
+  model?: Array<PartialEntry<ModelConfig>>
+  service?: Array<PartialEntry<ServiceConfig>>
 }
 
 export type EntryKind = 'team' | 'model' | 'adapter' | 'service'
 export const ENTRY_KINDS: readonly EntryKind[] = ['team', 'model', 'adapter', 'service']
 
-export type AdapterEntry = Partly<AdapterConfig>
+export type AdapterEntry = PartialEntry<AdapterConfig>
 
 export interface AdapterBucket {
   digest: string
@@ -50,7 +48,7 @@
   chunks: ChunkContents
 }
 
-/** Checks a whole file as parsed from TOML and cuts it into chunks. */
+/** Checks a whole file as parsed from TOML and splits it into chunks. */
 export function encodeDocument (document: string, value: Record<string, unknown>): Result<EncodedDocument, ConfigError> {
   const file = documentFileName(document)
   const { adapter, ...rest } = value
@@ -68,7 +66,7 @@
   const encoded = [core, ...splitIntoBuckets(adapters)].map(encodeChunk)
   const chunks: Chunk[] = []
   for (const chunk of encoded) {
-    if (chunk.err) return Err({ kind: 'schema', problems: [{ file, path: '', found: 'a file too large to keep', allowed: 'at most 1 MB, compressed, without the adapters' }] })
+    if (chunk.err) return Err({ kind: 'schema', problems: [{ file, path: '', found: 'a file that is too large to store', allowed: 'at most 1 MB, compressed, without the adapters' }] })
     chunks.push(chunk.val)
   }
   const [first, ...others] = chunks
@@ -79,11 +77,11 @@
   })
 }
 
-/** Reads and checks one chunk with everything but the adapters. */
+/** Reads and checks the chunk that contains everything but the adapters. */
 export function readCore (document: string, chunk: Chunk): Result<DocumentCore, ConfigError> {
   const file = documentFileName(document)
   const value = decodeChunk(chunk)
-  if (value.err) return Err(damaged(file, chunk.digest, value.val.kind))
+  if (value.err) return Err(damagedChunk(file, chunk.digest, value.val.kind))
   const checked = checkConfig(file, value.val, coreSchemaOf(document))
   if (checked.err) return checked
   const problems = duplicatesOf(file, value.val as DocumentCore)
@@ -95,18 +93,18 @@
   count: number
 }
 
-/** Reads and checks one bucket of adapters. A name in the wrong bucket would never be found again. */
+/** Reads and checks one bucket of adapters. A name in the wrong bucket would never be found by lookups. */
 export function readBucket (document: string, chunk: Chunk, position: BucketPosition): Result<AdapterBucket, ConfigError> {
   const file = documentFileName(document)
   const value = decodeChunk(chunk)
-  if (value.err) return Err(damaged(file, chunk.digest, value.val.kind))
+  if (value.err) return Err(damagedChunk(file, chunk.digest, value.val.kind))
   const checked = checkAdapters(document, value.val)
   if (checked.err) return checked
   const items = checked.val
-  items.forEach(shareModelName)
-  const astray = items.some(item => bucketOf(item.name, position.count) !== position.index)
+  items.forEach(internModelName)
+  const isMisplaced = items.some(item => bucketOf(item.name, position.count) !== position.index)
   const problems = duplicateNames(file, 'adapter', items)
-  if (astray) return Err(damaged(file, chunk.digest, 'wrong bucket'))
+  if (isMisplaced) return Err(damagedChunk(file, chunk.digest, 'wrong bucket'))
   if (problems.length > 0) return Err({ kind: 'schema', problems })
   return Ok({ digest: chunk.digest, byName: new Map(items.map(item => [item.name, item])) })
 }
@@ -116,10 +114,10 @@
   return content === undefined ? undefined : { digest, content }
 }
 
-/** Names of models repeat many times: one string for all keeps 80,000 adapters small. */
+/** Model names repeat many times; sharing one string per name saves memory with 80,000 adapters. */
 const internedNames = new Map<string, string>()
 
-function shareModelName (item: AdapterEntry): void {
+function internModelName (item: AdapterEntry): void {
   if (item.model === undefined) return
   const known = internedNames.get(item.model)
   if (known === undefined) internedNames.set(item.model, item.model)
@@ -127,19 +125,19 @@
 }
 
 /**
- * The schema's check leaves a dozen objects behind for each adapter, which for 80,000 of them cost 30 MB of
- * heap that is not given back. What is plainly right passes by looking at it; the rest goes to the schema,
- * which has the last word and the wording.
+ * Checks adapters without the schema if they are obviously valid, since the schema allocates a dozen objects per
+ * adapter; with 80,000 adapters these took 30 MB of heap that was not released. All others are checked by the
+ * schema, which decides and words the problems.
  */
 function checkAdapters (document: string, value: unknown): Result<AdapterEntry[], ConfigError> {
-  if (Array.isArray(value) && value.every(isPlainlyRight)) return Ok(value as AdapterEntry[])
+  if (Array.isArray(value) && value.every(isValidAdapter)) return Ok(value as AdapterEntry[])
   return checkConfig(documentFileName(document), value, v.array(adapterSchemaOf(document))) as Result<AdapterEntry[], ConfigError>
 }
 
 const PLAIN_NAME = /^[a-z0-9][a-z0-9._-]*$/
 const ADAPTER_FIELDS = 3
 
-function isPlainlyRight (value: unknown): value is AdapterConfig {
+function isValidAdapter (value: unknown): value is AdapterConfig {
   if (typeof value !== 'object' || value === null) return false
   const item = value as Partial<AdapterConfig>
   return typeof item.name === 'string' && PLAIN_NAME.test(item.name) &&
@@ -171,6 +169,6 @@
   })
 }
 
-function damaged (file: string, digest: string, found: string): ConfigError {
+function damagedChunk (file: string, digest: string, found: string): ConfigError {
   return { kind: 'schema', problems: [{ file, path: `chunk ${digest}`, found, allowed: 'the chunk as it was written' }] }
 }
--- a/packages/magnoliabay/src/node/config/documents.ts
+++ b/packages/magnoliabay/src/node/config/documents.ts
@@ -1,9 +1,9 @@
 /**
- * The documents that make up the configuration, and how they lie in the store: the base and one
- * overlay for each site, each with versions of its own.
+ * The documents of the configuration and their keys in the store: the base and one overlay for each
+ * site, each with its own versions.
  *
- * A version is a {@link Manifest} that names chunks by the digest of their content. It comes into
- * being with one compare-and-swap of the document's head; chunks written before that are invisible.
+ * A version is a {@link Manifest} that names chunks by the digest of their content. It is created
+ * by one compare-and-swap of the document's head; chunks written before that are not visible.
  */
 import * as v from 'valibot'
 import { STORE_KEY_PREFIX } from '../constants'
@@ -11,34 +11,34 @@
 
 export const BASE_DOCUMENT = 'base'
 const SITE_PREFIX = 'sites/'
-const DOCUMENT_FORM = /^(base|sites\/[a-z0-9][a-z0-9._-]*)$/
+const DOCUMENT_NAME = /^(base|sites\/[a-z0-9][a-z0-9._-]*)$/
 
 export const CONFIG_ROOT = `${STORE_KEY_PREFIX}/config/`
 export const HEADS_PREFIX = `${CONFIG_ROOT}heads/`
 const CHUNKS_PREFIX = `${CONFIG_ROOT}chunks/`
 const HISTORY_PREFIX = `${CONFIG_ROOT}history/`
-/** Versions sort as text, up to the largest safe integer. */
+/** Versions are padded to this many digits, so that they sort as text up to the largest safe integer. */
 const VERSION_DIGITS = 16
 
 const digest = v.pipe(v.string(), v.regex(/^[A-Za-z0-9_-]{43}$/))
 
 export const manifestSchema = v.strictObject({
-  document: v.pipe(v.string(), v.regex(DOCUMENT_FORM)),
+  document: v.pipe(v.string(), v.regex(DOCUMENT_NAME)),
   version: v.pipe(v.number(), v.integer(), v.minValue(1)),
-  /** Unique for each change: tells after a lost answer whether this change is the accepted one. */
+  /** Unique for each change; shows after a lost response whether this change was accepted. */
   changeId: v.string(),
   /** Digest of the chunk with everything but the adapters. */
   core: digest,
-  /** Digests of the adapters' buckets, in order; their count is a power of two, or none. */
+  /** Digests of the adapter buckets, in order; their count is zero or a power of two. */
   adapters: v.array(digest),
-  /** Name of the operator key that the change came with. */
+  /** Name of the operator key that was used for the change. */
   operator: v.string(),
-  /** Instance that accepted it. */
+  /** Instance that accepted the change. */
   acceptedBy: v.string(),
   acceptedAtMs: v.number(),
   /** The version that the operator saw. */
   fromVersion: v.number(),
-  /** What the operator said about the change. */
+  /** The operator's note on the change. */
   note: v.optional(v.string(), '')
 })
 
@@ -46,11 +46,11 @@
 
 const headSchema = v.strictObject({
   manifest: manifestSchema,
-  /** Small new chunks, by digest, so that whoever hears of the version need not ask for them. */
+  /** Small new chunks, by digest, so that a receiver of the head need not request them. */
   inline: v.record(v.string(), v.string())
 })
 
-/** The value of a document's head, and what peers send each other. */
+/** The stored value of a document's head, and the body of messages between peers. */
 export type Head = v.InferOutput<typeof headSchema>
 
 /** Contents of chunks by digest. */
@@ -66,7 +66,7 @@
 }
 
 export function isDocumentName (text: string): boolean {
-  return DOCUMENT_FORM.test(text)
+  return DOCUMENT_NAME.test(text)
 }
 
 /** File name of a document, as operators know it. */
@@ -94,7 +94,7 @@
   return [manifest.core, ...manifest.adapters]
 }
 
-/** The head in `text`, or undefined when the record is damaged. */
+/** Returns the head in `text`, or undefined if the record is damaged. */
 export function parseHead (text: string): Head | undefined {
   return checkHead(parseJson(text))
 }
--- a/packages/magnoliabay/src/node/config/index.ts
+++ b/packages/magnoliabay/src/node/config/index.ts
@@ -1,4 +1,4 @@
-/** Settings of an instance, and the configuration that holds for the fleet. */
+/** Settings of an instance, and the configuration of the fleet. */
 export { parseSettings, resolveSettings } from './settings'
 export type { ResolvedSettings, Settings } from './settings'
 export { createConfigProvider } from './configProvider'
--- a/packages/magnoliabay/src/node/config/loadedDocument.ts
+++ b/packages/magnoliabay/src/node/config/loadedDocument.ts
@@ -1,6 +1,4 @@
-/**
- * Documents that this instance holds: the newest version of each that it has in full.
- */
+/** Documents loaded on this instance: the newest version of each that it has in full. */
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { chunkOf, readBucket, readCore } from './documentBody'
@@ -12,21 +10,21 @@
 export interface LoadedDocument {
   manifest: Manifest
   body: DocumentBody
-  /** Contents of the manifest's chunks, for peers that ask. */
+  /** Contents of the manifest's chunks, served to peers that request them. */
   contents: ReadonlyMap<string, string>
 }
 
-/** New chunks up to this size, all together, travel with the head. */
+/** New chunks of up to this total size are sent with the head. */
 const MAX_INLINE_BYTES = 64 * 1024
 
-/** Digests of `manifest` that neither `before` nor `found` has. */
+/** Returns the digests of `manifest` that neither `before` nor `found` contains. */
 export function missingChunks (manifest: Manifest, before: LoadedDocument | undefined, found: ReadonlyMap<string, string>): string[] {
   return digestsOf(manifest).filter(digest => !found.has(digest) && before?.contents.has(digest) !== true)
 }
 
 /**
- * Reads and checks a version whose chunks are all there. Buckets that `before` has are taken over.
- * `pause` is awaited between chunks, so that streams go on while 80,000 adapters are read.
+ * Reads and checks a version whose chunks are all available. Buckets of `before` are reused.
+ * `pause` is awaited between chunks, so that streams continue while 80,000 adapters are read.
  */
 export async function loadDocument (manifest: Manifest, before: LoadedDocument | undefined, found: ReadonlyMap<string, string>, pause: () => Promise<void>): Promise<Result<LoadedDocument, ConfigError>> {
   const contents = new Map(digestsOf(manifest).map(digest => [digest, found.get(digest) ?? before?.contents.get(digest) ?? '']))
@@ -50,16 +48,16 @@
   return Ok({ manifest, body: { document: manifest.document, core: core.val, adapters }, contents })
 }
 
-/** The head of a version: small chunks that `before` lacks travel with it. */
+/** Returns the head of a version, with the chunks that `before` lacks if they are small. */
 export function headOf (manifest: Manifest, contents: ReadonlyMap<string, string>, before: Manifest | undefined): Head {
   const known = new Set(before === undefined ? [] : digestsOf(before))
-  const fresh = digestsOf(manifest).filter(digest => !known.has(digest) && contents.has(digest))
-  const size = fresh.reduce((sum, digest) => sum + contents.get(digest)!.length, 0)
+  const newDigests = digestsOf(manifest).filter(digest => !known.has(digest) && contents.has(digest))
+  const size = newDigests.reduce((sum, digest) => sum + contents.get(digest)!.length, 0)
   if (size > MAX_INLINE_BYTES) return { manifest, inline: {} }
-  return { manifest, inline: Object.fromEntries(fresh.map(digest => [digest, contents.get(digest)!])) }
+  return { manifest, inline: Object.fromEntries(newDigests.map(digest => [digest, contents.get(digest)!])) }
 }
 
-/** As many of the chunks asked for as fit into `maxBytes`, at least one. */
+/** Returns as many of the requested chunks as fit into `maxBytes`, but at least one. */
 export function pickContents (digests: readonly string[], contentOf: (digest: string) => string | undefined, maxBytes: number): ChunkContents {
   const picked: Record<string, string> = {}
   let size = 0
