--- a/packages/magnoliabay/src/node/config/chunks.ts
+++ b/packages/magnoliabay/src/node/config/chunks.ts
@@ -1,6 +1,6 @@
 /**
- * Documents as chunks named by the digest of their content. A change of one team leaves the chunks of
- * 80,000 adapters as they are: nobody fetches, parses or checks them again.
+ * Splits documents into chunks that are named by the digest of their content. A change of one team leaves the chunks
+ * of 80,000 adapters as they are, so that no instance fetches, parses or checks them again.
  */
 import { createHash } from 'node:crypto'
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
@@ -9,9 +9,9 @@
 import type { Result } from '../result'
 import { parseJson } from '../utils'
 
-/** Adapters in a bucket, on average: small enough to be checked between two tokens of a stream. */
+/** Average number of adapters in a bucket, small enough to be checked between two tokens of a stream. */
 const ADAPTERS_PER_BUCKET = 2500
-/** Above any chunk of ours, so that a damaged one can't exhaust memory. */
+/** Larger than any chunk that is written, so that a damaged one can't exhaust memory. */
 const MAX_CHUNK_JSON_BYTES = 16 * 1024 * 1024
 const FNV_OFFSET = 0x811c9dc5
 const FNV_PRIME = 0x01000193
@@ -42,7 +42,7 @@
   return Ok({ digest, content })
 }
 
-/** Decodes and compares with the digest: whatever passes is what an operator sent, whoever gave it to us. */
+/** Decodes a chunk and checks its digest. A chunk that passes is what an operator sent, whichever source it came from. */
 export function decodeChunk (chunk: Chunk): Result<unknown, ChunkError> {
   const text = inflate(chunk.content)
   if (text === undefined) return Err({ kind: 'damaged', digest: chunk.digest })
@@ -50,12 +50,12 @@
   return Ok(parseJson(text))
 }
 
-/** Whether `content` is what `digest` names. Checked on arrival, so that a damaged copy never hides a whole one. */
-export function isWhole (digest: string, content: string): boolean {
+/** Returns whether `content` matches `digest`. Checked on arrival, so that a damaged copy never hides an intact one. */
+export function isIntact (digest: string, content: string): boolean {
   return decodeChunk({ digest, content }).ok
 }
 
-/** Adapters by bucket, in order of name, so that equal contents give equal digests. */
+/** Distributes items over buckets, each sorted by name, so that equal contents have equal digests. */
 export function splitIntoBuckets<T extends Named> (items: readonly T[]): T[][] {
   if (items.length === 0) return []
   const count = 2 ** Math.max(0, Math.ceil(Math.log2(items.length / ADAPTERS_PER_BUCKET)))
@@ -65,7 +65,7 @@
   return buckets
 }
 
-/** FNV-1a over the name: the same in every version, for digests depend on it. `count` is a power of two. */
+/** Returns the bucket of a name by FNV-1a. Must be the same in every release, since digests depend on it. `count` is a power of two. */
 export function bucketOf (name: string, count: number): number {
   let hash = FNV_OFFSET
   for (let at = 0; at < name.length; at += 1) {
--- a/packages/magnoliabay/src/node/config/messages.ts
+++ b/packages/magnoliabay/src/node/config/messages.ts
@@ -1,19 +1,19 @@
-/** What members tell and ask each other about the configuration. */
+/** Messages between members about the configuration. */
 import { definePeerCall, definePeerNotice } from '../members'
 import type { ChunkContents, DocumentVersion, Head } from './documents'
 
-/** A version just accepted or adopted, with its small chunks: a change is in force a hop later. */
+/** A newly accepted or loaded version with its small chunks, so that the receiver can activate it without further calls. */
 export const configAcceptedNotice = definePeerNotice<Head>('config.accepted')
 
-/** What the sender holds. Whoever holds something newer answers with {@link configAcceptedNotice}. */
+/** Versions loaded at the sender. A receiver with newer ones replies with {@link configAcceptedNotice}. */
 export const configVersionsNotice = definePeerNotice<{ versions: DocumentVersion[] }>('config.versions')
 
 export const configHeadCall = definePeerCall<{ document: string }, { head?: Head }>('config.head')
-/** Answers with those of the chunks that it holds, up to a message's size. */
+/** Returns the requested chunks that the receiver has, up to {@link MAX_CHUNK_RESPONSE_BYTES}. */
 export const configChunksCall = definePeerCall<{ digests: string[] }, { contents: ChunkContents }>('config.chunks')
-/** `follows`: the documents that the instance acts on, the base and its own site's overlay. */
-export const configInForceCall = definePeerCall<Record<string, never>, { versions: DocumentVersion[], follows: string[] }>('config.in-force')
+/** `follows`: the documents that the instance applies, the base and the overlay of its site. */
+export const configActiveVersionsCall = definePeerCall<Record<string, never>, { versions: DocumentVersion[], follows: string[] }>('config.in-force')
 
-/** A chunk may have 1 MB; an answer holds at least one. */
-export const MAX_CHUNK_ANSWER_BYTES = 1_500_000
+/** Maximum size of a response with chunks; a chunk may have 1 MB, and a response contains at least one. */
+export const MAX_CHUNK_RESPONSE_BYTES = 1_500_000
 export const CHUNK_CALL_TIMEOUT_MS = 3000
--- a/packages/magnoliabay/src/node/config/queries.ts
+++ b/packages/magnoliabay/src/node/config/queries.ts
@@ -1,10 +1,10 @@
-/** Reading documents out of the store, for operators and for the check of a change. */
+/** Reads documents from the store, for operators and for the check of a change. */
 import type { Clock } from '../clock'
 import { sleep } from '../clock'
 import type { Store, StoreError } from '../store'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { isWhole } from './chunks'
+import { isIntact } from './chunks'
 import { HEADS_PREFIX, chunkKey, historyKey, historyPrefix, parseHead, parseManifest } from './documents'
 import type { ChunkContents, Head, Manifest } from './documents'
 import { missingChunks, loadDocument } from './loadedDocument'
@@ -13,7 +13,7 @@
 import type { ConfigError } from './schema'
 
 export interface StoredHead {
-  /** Undefined when the record is damaged. */
+  /** Undefined if the record is damaged. */
   head: Head | undefined
   modRevision: number
 }
@@ -29,14 +29,14 @@
   clock: Clock
 }
 
-/** Heads of all documents, by document. */
+/** Returns the heads of all documents, by document. */
 export async function readHeads (store: Store): Promise<Result<Map<string, StoredHead>, StoreError>> {
   const range = await store.range(HEADS_PREFIX, { priority: 'config' })
   return range.map(({ entries }) => new Map(entries.map(entry =>
     [entry.key.slice(HEADS_PREFIX.length), { head: parseHead(entry.value), modRevision: entry.modRevision }])))
 }
 
-/** Accepted versions of a document, the newest first, as far as they are kept. */
+/** Returns the accepted versions of a document that are still kept, newest first. */
 export async function readHistory (store: Store, document: string): Promise<Result<Manifest[], StoreError>> {
   const range = await store.range(historyPrefix(document), { priority: 'config' })
   return range.map(({ entries }) => entries
@@ -49,17 +49,17 @@
   return entry.map(found => found === undefined ? undefined : parseManifest(found.value))
 }
 
-/** One version in full, from what is given, what this instance holds, and the store. */
-export async function readVersion (sources: ReadSources, manifest: Manifest, given: ChunkContents): Promise<Result<LoadedDocument, ReadError>> {
-  const held = sources.configProvider.latestDocument(manifest.document)
-  const found = new Map(Object.entries(given).filter(([digest, content]) => isWhole(digest, content)))
-  for (const digest of missingChunks(manifest, held, found)) {
+/** Reads one version in full, from the given chunks, those loaded on this instance, and the store. */
+export async function readVersion (sources: ReadSources, manifest: Manifest, givenChunks: ChunkContents): Promise<Result<LoadedDocument, ReadError>> {
+  const loaded = sources.configProvider.latestDocument(manifest.document)
+  const found = new Map(Object.entries(givenChunks).filter(([digest, content]) => isIntact(digest, content)))
+  for (const digest of missingChunks(manifest, loaded, found)) {
     const entry = await sources.store.get(chunkKey(digest), { priority: 'config' })
     if (entry.err) return Err({ kind: 'store', cause: entry.val })
-    if (entry.val !== undefined && isWhole(digest, entry.val.value)) found.set(digest, entry.val.value)
+    if (entry.val !== undefined && isIntact(digest, entry.val.value)) found.set(digest, entry.val.value)
   }
-  const digests = missingChunks(manifest, held, found)
+  const digests = missingChunks(manifest, loaded, found)
   if (digests.length > 0) return Err({ kind: 'missing-chunks', digests })
-  const read = await loadDocument(manifest, held, found, () => sleep(sources.clock, 0))
+  const read = await loadDocument(manifest, loaded, found, () => sleep(sources.clock, 0))
   return read.err ? Err({ kind: 'config', cause: read.val }) : Ok(read.val)
 }
--- a/packages/magnoliabay/src/node/operators/queries.ts
+++ b/packages/magnoliabay/src/node/operators/queries.ts
@@ -6,7 +6,7 @@
 import type { AdapterConfig, ConfigProvider, DocumentVersion, Manifest, ModelConfig, ServiceConfig, TeamConfig } from '../config'
 import type { EntryKind } from '../config/documentBody'
 import { readHeads, readHistory, readManifest, readVersion } from '../config/queries'
-import { configInForceCall } from '../config/messages'
+import { configActiveVersionsCall } from '../config/messages'
 import type { Peers } from '../members'
 import type { Store, StoreError } from '../store'
 import { Err, Ok } from '../result'
@@ -104,7 +104,7 @@
     return head === undefined ? Err(unknown) : Ok(head.manifest)
   }
   const askInstance = async (id: string, failureDomain: string, document: string, version: number): Promise<InstanceRollout | undefined> => {
-    const answer = await peers.call(id, configInForceCall, {})
+    const answer = await peers.call(id, configActiveVersionsCall, {})
     if (answer.err) return { instance: id, failureDomain, isInForce: false, reason: answer.val.message }
     if (!answer.val.follows.includes(document)) return undefined
     const found = answer.val.versions.find(one => one.document === document)?.version
