--- a/packages/magnoliabay/src/node/backend/directory.ts
+++ b/packages/magnoliabay/src/node/backend/directory.ts
@@ -1,5 +1,6 @@
 /**
- * Backend servers that the platform's list names, read again and again, or told by those who read it.
+ * The backend servers in the platform's instance list. The list is polled, or updated by notices from other members
+ * that poll it.
  */
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
@@ -7,14 +8,14 @@
 import { createListeners } from '../members/dispatch'
 import type { Disposer, Peers } from '../members/peers'
 import type { InstanceList, ListedInstance } from '../store'
-import { READ_PERIOD_MS, differenceOf, isEmpty, isTurnToRead, listChanged, withChange } from './listPolling'
+import { READ_INTERVAL_MS, diffLists, isEmpty, isTurnToRead, listChangedNotice, applyChange } from './listPolling'
 import type { ListChange } from './listPolling'
 
 export interface BackendDirectory {
   engines (): readonly ListedInstance[]
   engine (id: string): ListedInstance | undefined
   services (name: string): readonly ListedInstance[]
-  /** Everything in the list as last heard. */
+  /** All entries of the latest known list. */
   all (): readonly ListedInstance[]
   onChanged (listener: () => void): Disposer
   start (signal: AbortSignal): void
@@ -24,13 +25,13 @@
   list: InstanceList
   clock: Clock
   logger: Logger
-  /** Called with every list that was read here. */
+  /** Called with every list that this instance reads itself. */
   onRead?: (listed: readonly ListedInstance[]) => void
-  /** Who shares the reading. @default nobody: this instance reads for itself */
+  /** Members that share the polling. @default none: this instance polls for itself */
   peers?: Peers
 }
 
-interface Index {
+interface DirectoryIndex {
   engines: readonly ListedInstance[]
   byId: ReadonlyMap<string, ListedInstance>
   services: ReadonlyMap<string, readonly ListedInstance[]>
@@ -40,43 +41,43 @@
   const { list, clock, logger, peers } = options
   const changed = createListeners<[]>()
   let listed: readonly ListedInstance[] = []
-  let index = indexOf(listed)
-  /** Time of the reading that each instance was last changed by, Unix epoch milliseconds. */
+  let index = buildIndex(listed)
+  /** By instance id: the time of the reading that last changed the entry, Unix epoch milliseconds. */
   const changedAtMs = new Map<string, number>()
   let hasRead = false
 
-  const take = (next: readonly ListedInstance[], change: ListChange): void => {
+  const applyList = (next: readonly ListedInstance[], change: ListChange): void => {
     const ids = [...change.gone, ...change.changed.map(instance => instance.id)]
     ids.forEach(id => changedAtMs.set(id, change.readAtMs))
     listed = next
-    index = indexOf(next)
+    index = buildIndex(next)
     changed.emit()
   }
   const isDue = (): boolean => !hasRead || peers === undefined || isTurnToRead(peers.self.id, peers.members(), clock.now())
-  const read = async (): Promise<void> => {
+  const readList = async (): Promise<void> => {
     if (!isDue()) return
     const readAtMs = clock.now()
-    const answer = await list.read()
-    if (answer.err) return logger.debug('instance-list-unread', { reason: answer.val.message })
-    options.onRead?.(answer.val)
-    const change = differenceOf(listed, answer.val, readAtMs)
-    // The first reading differs from nothing; it is no news to the others.
-    const isNews = hasRead && !isEmpty(change)
+    const result = await list.read()
+    if (result.err) return logger.debug('instance-list-unread', { reason: result.val.message })
+    options.onRead?.(result.val)
+    const change = diffLists(listed, result.val, readAtMs)
+    // The first reading has no earlier one to differ from; other members are not notified of it.
+    const shouldNotify = hasRead && !isEmpty(change)
     hasRead = true
     if (isEmpty(change)) return
-    take(answer.val, change)
-    if (isNews) peers?.notifyAll(listChanged, change)
+    applyList(result.val, change)
+    if (shouldNotify) peers?.notifyAll(listChangedNotice, change)
   }
-  /** Notices of two readings may overtake each other: an older one must not bring back what has gone since. */
-  const withoutOutdated = (change: ListChange): ListChange => {
+  /** Drops outdated parts of a change. Notices may arrive out of order: an older one must not restore an entry removed since. */
+  const dropOutdated = (change: ListChange): ListChange => {
     const isNewer = (id: string): boolean => change.readAtMs > (changedAtMs.get(id) ?? -Infinity)
     return { ...change, changed: change.changed.filter(instance => isNewer(instance.id)), gone: change.gone.filter(isNewer) }
   }
-  peers?.listen(listChanged, received => {
+  peers?.listen(listChangedNotice, received => {
     if (!hasRead) return
-    const change = withoutOutdated(received)
-    const next = withChange(listed, change)
-    if (!isEmpty(differenceOf(listed, next, change.readAtMs))) take(next, change)
+    const change = dropOutdated(received)
+    const next = applyChange(listed, change)
+    if (!isEmpty(diffLists(listed, next, change.readAtMs))) applyList(next, change)
   })
 
   return {
@@ -85,11 +86,11 @@
     services: name => index.services.get(name) ?? [],
     all: () => listed,
     onChanged: changed.add,
-    start: signal => { repeat(clock, READ_PERIOD_MS, signal, read) }
+    start: signal => { repeat(clock, READ_INTERVAL_MS, signal, readList) }
   }
 }
 
-function indexOf (listed: readonly ListedInstance[]): Index {
+function buildIndex (listed: readonly ListedInstance[]): DirectoryIndex {
   const engines = listed.filter(instance => instance.role === 'engine')
   const services = new Map<string, ListedInstance[]>()
   listed.filter(instance => instance.role === 'service' && instance.service !== undefined).forEach(instance => {
--- a/packages/magnoliabay/src/node/backend/leavingBackends.ts
+++ b/packages/magnoliabay/src/node/backend/leavingBackends.ts
@@ -1,6 +1,6 @@
 /**
- * Backend servers that said themselves that they leave. The platform's list lags by seconds; until it has
- * caught up, their word keeps new work away, here and at every peer.
+ * Backend servers that have announced that they are leaving. The platform's list lags by seconds; until it has
+ * caught up, the announcement keeps new requests away from them, here and at every peer.
  */
 import type { Clock } from '../clock'
 import { definePeerNotice } from '../members'
@@ -10,10 +10,10 @@
   address: string
 }
 
-export const backendLeaving = definePeerNotice<BackendLeavingNotice>('backend.leaving')
+export const backendLeavingNotice = definePeerNotice<BackendLeavingNotice>('backend.leaving')
 
 export interface LeavingBackends {
-  /** The server refused work as one that leaves does. */
+  /** Records that the server refused a request because it is leaving, and notifies all peers. */
   markLeaving (address: string): void
   isLeaving (address: string): boolean
 }
@@ -22,34 +22,34 @@
   peers: Pick<Peers, 'listen' | 'notifyAll'>
   clock: Clock
   /**
-   * How long the word holds, milliseconds: longer than the list lags, short enough that a server that only
-   * refused for a while is used again. @default 10000
+   * How long an announcement is kept, milliseconds: longer than the list lags, short enough that a server that
+   * refused requests only for a while is used again. @default 10000
    */
-  holdMs?: number
+  retentionMs?: number
 }
 
-const HOLD_MS = 10_000
+const DEFAULT_RETENTION_MS = 10_000
 
 export function createLeavingBackends (options: LeavingBackendsOptions): LeavingBackends {
   const { peers, clock } = options
-  const holdMs = options.holdMs ?? HOLD_MS
-  const untilMs = new Map<string, number>()
+  const retentionMs = options.retentionMs ?? DEFAULT_RETENTION_MS
+  const expiryByAddress = new Map<string, number>()
 
-  const forgetOld = (): void => {
+  const removeExpired = (): void => {
     const nowMs = clock.monotonic()
-    const old = [...untilMs].filter(([, atMs]) => atMs <= nowMs)
-    old.forEach(([address]) => untilMs.delete(address))
+    const expired = [...expiryByAddress].filter(([, expiresAtMs]) => expiresAtMs <= nowMs)
+    expired.forEach(([address]) => expiryByAddress.delete(address))
   }
-  const take = (address: string): void => {
-    forgetOld()
-    untilMs.set(address, clock.monotonic() + holdMs)
+  const recordLeaving = (address: string): void => {
+    removeExpired()
+    expiryByAddress.set(address, clock.monotonic() + retentionMs)
   }
-  peers.listen(backendLeaving, departure => take(departure.address))
+  peers.listen(backendLeavingNotice, notice => recordLeaving(notice.address))
   return {
     markLeaving: address => {
-      take(address)
-      peers.notifyAll(backendLeaving, { address })
+      recordLeaving(address)
+      peers.notifyAll(backendLeavingNotice, { address })
     },
-    isLeaving: address => (untilMs.get(address) ?? 0) > clock.monotonic()
+    isLeaving: address => (expiryByAddress.get(address) ?? 0) > clock.monotonic()
   }
 }
