--- a/packages/magnoliabay/src/node/backend/callerStream.ts
+++ b/packages/magnoliabay/src/node/backend/callerStream.ts
@@ -1,6 +1,6 @@
 /**
- * The caller's end of an answer: takes whole events, holds the engine back while the caller reads slowly,
- * and gives up a caller that has stopped reading.
+ * Writes a streamed response to the caller. Reports back-pressure while the caller reads slowly, and closes the
+ * connection of a caller that has stopped reading.
  */
 import type { ServerResponse } from 'node:http'
 import type { Clock } from '../clock'
@@ -8,7 +8,7 @@
 
 export interface CallerStream {
   isStarted (): boolean
-  /** Sends events; false while the caller's buffers are full, until `onRoom` is called. */
+  /** Sends whole events. Returns false when the socket's buffer is full; `onDrain` is called when it has drained. */
   write (events: Buffer): boolean
   end (): void
 }
@@ -17,27 +17,28 @@
   res: ServerResponse
   requestId: string
   clock: Clock
-  /** A caller that takes nothing for this long is cut, milliseconds. */
-  stallMs: number
+  /** A caller that reads nothing for this long is disconnected, milliseconds. */
+  stallTimeoutMs: number
   onFirstByte: () => void
-  onRoom: () => void
+  onDrain: () => void
 }
 
 export function createCallerStream (options: CallerStreamOptions): CallerStream {
-  const { res, requestId, clock, stallMs } = options
+  const { res, requestId, clock, stallTimeoutMs } = options
   let isStarted = false
 
   /**
-   * A caller that is gone without closing, or never reads, would hold the engine's slot and its own buffers
-   * for good. The engine is paused meanwhile, so what is held is bounded by the two sockets' buffers.
+   * Disconnects a caller that doesn't read. One that vanished without closing its connection, or never reads, would
+   * otherwise occupy the engine's slot and its buffers forever. The engine's response is paused meanwhile, so the
+   * buffered data is bounded by the buffers of the two sockets.
    */
-  const waitForRoom = (): void => {
-    const cancel = clock.schedule(stallMs, () => res.destroy())
+  const waitForDrain = (): void => {
+    const cancel = clock.schedule(stallTimeoutMs, () => res.destroy())
     res.once('close', cancel)
     res.once('drain', () => {
       cancel()
       res.off('close', cancel)
-      options.onRoom()
+      options.onDrain()
     })
   }
   return {
@@ -49,9 +50,9 @@
         res.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-cache', [REQUEST_ID_HEADER]: requestId })
       }
       if (res.destroyed) return true
-      const hasRoom = res.write(events)
-      if (!hasRoom) waitForRoom()
-      return hasRoom
+      const isWritable = res.write(events)
+      if (!isWritable) waitForDrain()
+      return isWritable
     },
     end: () => { res.end() }
   }
--- a/packages/magnoliabay/src/node/backend/engineClient.ts
+++ b/packages/magnoliabay/src/node/backend/engineClient.ts
@@ -1,5 +1,5 @@
 /**
- * Orders to engines and questions to them, by their published protocol.
+ * Client for the engines' control API: sends orders and queries state, by their published protocol.
  */
 import { Client, Pool } from 'undici'
 import type { Dispatcher } from 'undici'
@@ -9,8 +9,8 @@
 import type { CacheEvents, EngineState, LoadReport, Order, OrderReply } from './protocol'
 
 /**
- * `not-sent`: the engine certainly has not seen it. `no-answer`: it may have been carried out, or may
- * still be. `refused`: the engine answered that it won't.
+ * `not-sent`: the request certainly did not reach the engine. `no-answer`: it may have been carried out, or may
+ * still be. `refused`: the engine answered with an error status.
  */
 export type EngineErrorKind = 'not-sent' | 'no-answer' | 'refused'
 
@@ -29,12 +29,12 @@
 }
 
 const QUERY_TIMEOUT_MS = 2000
-const CONTROL_CONNECTIONS = 8
+const MAX_CONTROL_CONNECTIONS = 8
 const CONNECT_TIMEOUT_MS = 2000
-const NEVER_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
+const NOT_SENT_ERROR_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
 
 export function createEngineClient (): EngineClient {
-  const pools = createConnectionPools(CONTROL_CONNECTIONS)
+  const pools = createConnectionPools(MAX_CONTROL_CONNECTIONS)
   const send = async <T>(address: string, options: Pick<Dispatcher.RequestOptions, 'method' | 'path'>, body: object | undefined, timeoutMs: number): Promise<Result<T, EngineError>> => {
     try {
       const res = await pools.of(address).request({
@@ -44,9 +44,9 @@
         headersTimeout: timeoutMs,
         bodyTimeout: timeoutMs
       })
-      const answer = await res.body.json()
+      const responseBody = await res.body.json()
       return res.statusCode < 300
-        ? Ok(answer as T)
+        ? Ok(responseBody as T)
         : Err({ kind: 'refused', message: `The engine answered with status ${res.statusCode}.` })
     } catch (err) {
       return Err(engineErrorOf(err))
@@ -66,17 +66,17 @@
 
 export function engineErrorOf (err: unknown): EngineError {
   const code = (err as { code?: string }).code ?? ''
-  return { kind: NEVER_SENT.has(code) ? 'not-sent' : 'no-answer', message: messageOf(err) }
+  return { kind: NOT_SENT_ERROR_CODES.has(code) ? 'not-sent' : 'no-answer', message: messageOf(err) }
 }
 
 export interface ConnectionPools {
   of (address: string): Pool
-  /** A connection that nobody has used before, and that closes when the caller destroys it. */
+  /** Returns a new client outside the pool. Its user closes it with `destroy`. */
   createUnpooled (address: string): Client
   close (): Promise<void>
 }
 
-/** One connection pool for each address, made on first use. */
+/** Keeps one connection pool for each address, created on first use. */
 export function createConnectionPools (connections: number | null): ConnectionPools {
   const pools = new Map<string, Pool>()
   return {
--- a/packages/magnoliabay/src/node/backend/httpExchange.ts
+++ b/packages/magnoliabay/src/node/backend/httpExchange.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP exchange with a backend server, which knows at every moment whether anything of the request has
- * been sent, and notices a connection that has gone silent.
+ * One HTTP exchange with a backend server. Tracks whether any byte of the request has been sent, and detects a
+ * connection on which nothing arrives any more.
  */
 import type { Dispatcher } from 'undici'
 import type { Clock } from '../clock'
@@ -13,10 +13,10 @@
   path: string
   headers: Readonly<Record<string, string>>
   body?: Buffer
-  /** Longest expected silence before the first byte of the answer's body, milliseconds. */
-  firstByteMs: number
-  /** Longest expected silence within the body, milliseconds. */
-  gapMs: number
+  /** Longest wait for the first byte of the response's body, milliseconds. */
+  firstByteTimeoutMs: number
+  /** Longest pause between two chunks of the body, milliseconds. */
+  idleTimeoutMs: number
 }
 
 export type ResponseHeaders = Readonly<Record<string, string | string[] | undefined>>
@@ -27,8 +27,8 @@
 }
 
 /**
- * `complete`: the whole answer came. `broken`: the connection failed. `silent`: nothing came within the
- * expected time. `stopped`: by {@link HttpExchange.stop}.
+ * `complete`: the whole response arrived. `broken`: the connection failed. `silent`: nothing arrived within the
+ * timeout. `stopped`: ended by {@link HttpExchange.stop}.
  */
 export type ExchangeEndKind = 'complete' | 'broken' | 'silent' | 'stopped'
 
@@ -41,9 +41,9 @@
 
 export interface HttpExchange {
   readonly ended: Promise<HttpExchangeEnd>
-  /** Ends the exchange and closes its connection, unless it has ended. */
+  /** Ends the exchange and closes its connection, unless it has ended already. */
   stop (message: string): void
-  /** No more data is read until `resume`; silence is not counted meanwhile. */
+  /** Stops reading until `resume`; the timeouts do not apply meanwhile. */
   pause (): void
   resume (): void
 }
@@ -51,57 +51,57 @@
 export function startExchange (dispatcher: Dispatcher, clock: Clock, req: ExchangeRequest, handlers: ExchangeHandlers): HttpExchange {
   let controller: Dispatcher.DispatchController | undefined
   let isSent = false
-  let isOver = false
+  let hasEnded = false
   let isPaused = false
-  let heardMs = clock.monotonic()
-  let silenceMs = req.firstByteMs
-  let settle: (end: HttpExchangeEnd) => void = () => {}
-  const ended = new Promise<HttpExchangeEnd>(resolve => { settle = resolve })
+  let lastActivityMs = clock.monotonic()
+  let currentTimeoutMs = req.firstByteTimeoutMs
+  let resolveEnded: (end: HttpExchangeEnd) => void = () => {}
+  const ended = new Promise<HttpExchangeEnd>(resolve => { resolveEnded = resolve })
 
   const finish = (kind: ExchangeEndKind, message: string): void => {
-    if (isOver) return
-    isOver = true
-    cancelWatch()
-    settle({ kind, isSent, message })
+    if (hasEnded) return
+    hasEnded = true
+    cancelIdleCheck()
+    resolveEnded({ kind, isSent, message })
   }
-  const abandon = (kind: ExchangeEndKind, message: string): void => {
-    if (isOver) return
+  const abort = (kind: ExchangeEndKind, message: string): void => {
+    if (hasEnded) return
     finish(kind, message)
-    // Closes the connection too: whatever may still come on it belongs to nobody.
+    // Closes the connection too: data that still arrives on it must not be taken for part of another response.
     controller?.abort(new Error(message))
   }
-  /** One timer for each exchange, armed anew only when it fires: chunks only note the time. */
-  const watch = (delayMs: number): (() => void) => clock.schedule(delayMs, () => {
+  /** Uses one timer for each exchange, set again only when it fires; a chunk only updates `lastActivityMs`. */
+  const scheduleIdleCheck = (delayMs: number): (() => void) => clock.schedule(delayMs, () => {
     if (isPaused) {
-      cancelWatch = watch(silenceMs)
+      cancelIdleCheck = scheduleIdleCheck(currentTimeoutMs)
       return
     }
-    const leftMs = heardMs + silenceMs - clock.monotonic()
-    if (leftMs > 0) cancelWatch = watch(leftMs)
-    else abandon('silent', `Nothing came for ${silenceMs} ms.`)
+    const remainingMs = lastActivityMs + currentTimeoutMs - clock.monotonic()
+    if (remainingMs > 0) cancelIdleCheck = scheduleIdleCheck(remainingMs)
+    else abort('silent', `Nothing came for ${currentTimeoutMs} ms.`)
   })
-  let cancelWatch = watch(Math.min(req.firstByteMs, req.gapMs))
+  let cancelIdleCheck = scheduleIdleCheck(Math.min(req.firstByteTimeoutMs, req.idleTimeoutMs))
 
   const handler: Dispatcher.DispatchHandler = {
     onRequestStart: started => {
       controller = started
-      // The library queues a request again when its connection closes in some ways. It must never go out
-      // twice under one exchange: a second start is refused here, before a byte of it is written.
-      if (isOver || isSent) {
+      // undici queues a request again when its connection closes in some ways. One exchange must never send its
+      // request twice: a second start is aborted here, before a byte of it is written.
+      if (hasEnded || isSent) {
         started.abort(new Error('The exchange has ended.'))
         return finish('broken', 'The connection closed before it was used.')
       }
       isSent = true
     },
     onResponseStart: (_controller, status, headers) => {
-      if (isOver || status < 200) return
-      heardMs = clock.monotonic()
+      if (hasEnded || status < 200) return
+      lastActivityMs = clock.monotonic()
       handlers.onHead(status, headers)
     },
     onResponseData: (_controller, chunk) => {
-      if (isOver) return
-      heardMs = clock.monotonic()
-      silenceMs = req.gapMs
+      if (hasEnded) return
+      lastActivityMs = clock.monotonic()
+      currentTimeoutMs = req.idleTimeoutMs
       handlers.onData(chunk)
     },
     onResponseEnd: () => finish('complete', ''),
@@ -110,19 +110,19 @@
   try {
     dispatcher.dispatch({ method: req.method, path: req.path, headers: { ...req.headers }, body: req.body, headersTimeout: 0, bodyTimeout: 0 }, handler)
   } catch (err) {
-    // Thrown for a request that the library won't send: a header or path it takes for invalid.
+    // undici throws for a request that it does not send, such as one with an invalid header or path.
     finish('broken', messageOf(err))
   }
   return {
     ended,
-    stop: message => abandon('stopped', message),
+    stop: message => abort('stopped', message),
     pause: () => {
       isPaused = true
       controller?.pause()
     },
     resume: () => {
       isPaused = false
-      heardMs = clock.monotonic()
+      lastActivityMs = clock.monotonic()
       controller?.resume()
     }
   }
--- a/packages/magnoliabay/src/node/backend/index.ts
+++ b/packages/magnoliabay/src/node/backend/index.ts
@@ -1,4 +1,4 @@
-/** The backend servers: engines and plain services. */
+/** Clients for backend servers: engines and plain services. */
 export { createBackendDirectory } from './directory'
 export type { BackendDirectory } from './directory'
 export { createEngineClient, createConnectionPools } from './engineClient'
--- a/packages/magnoliabay/src/node/backend/protocol.ts
+++ b/packages/magnoliabay/src/node/backend/protocol.ts
@@ -2,37 +2,37 @@
  * The engines' published protocol, HTTP with JSON bodies.
  *
  * - `POST /v1/chat/completions`, `POST /v1/completions`: OpenAI-compatible, `stream: true` gives SSE.
- *   Request headers `x-request-id`, `x-priority` (0 first). The answer repeats `x-request-id`, and every
- *   SSE event carries an `id:` line `<request id>:<index>`; a stream ends with `data: [DONE]`.
- *   The last data event before it carries `usage`. A refusal that ran nothing has status 4xx or 503 and
- *   header `x-not-run: true`.
+ *   Request headers `x-request-id`, `x-priority` (0 is served first). The response repeats `x-request-id`, and
+ *   every SSE event carries an `id:` line `<request id>:<index>`; a stream ends with `data: [DONE]`.
+ *   The last data event before it carries `usage`. A refusal without running anything has status 4xx or 503 and
+ *   the header `x-not-run: true`.
  * - `POST /control/cancel` {@link CancelRequest}.
  * - `GET /control/resume?request=<id>&from=<index>`: the rest of a stream whose connection broke, for engines
- *   whose state says `canResume`; 404 when it is no longer held.
+ *   whose state says `canResume`; 404 when the engine no longer keeps it.
  * - `POST /control/orders` {@link Order} → {@link OrderReply}, answered when the order has been carried out.
- * - `GET /control/state` → {@link EngineState}: what is true now.
- * - `GET /control/load` → {@link LoadReport}: reported with a lag.
- * - `GET /control/events?after=<sequence>` → {@link CacheEvents}: late, and with gaps.
+ * - `GET /control/state` → {@link EngineState}: the current state.
+ * - `GET /control/load` → {@link LoadReport}: lags behind the current load.
+ * - `GET /control/events?after=<sequence>` → {@link CacheEvents}: delayed, and possibly with gaps.
  */
 
 export type OrderAction = 'raise-fence' | 'load' | 'unload' | 'load-adapter' | 'unload-adapter' | 'set-version' | 'set-role'
 
-/** Where the engine would read a checkpoint from, fastest first. */
+/** Where the engine reads a checkpoint from, fastest first. */
 export type CheckpointTier = 'memory' | 'disk' | 'remote'
 
 export type EngineRole = 'serve' | 'prefill' | 'decode'
 
 export interface Order {
-  /** Unique; the engine answers a repeated id with the first outcome and does nothing again. */
+  /** Unique; for a repeated id the engine returns the first outcome and does nothing. */
   orderId: string
-  /** Fencing number of the orderer. */
+  /** Fencing token of the leader that sends the order. */
   fence: number
   action: OrderAction
   model?: string
   adapter?: string
   version?: string
   role?: EngineRole
-  /** MiB that the model or adapter takes, as charged by the orderer. */
+  /** Memory that the leader accounts for the model or adapter, MiB. */
   memoryMiB?: number
 }
 
@@ -51,7 +51,7 @@
   version: string
   state: LoadedState
   memoryMiB: number
-  /** Order that caused it. */
+  /** The order that led to this state. */
   orderId: string
 }
 
@@ -65,7 +65,7 @@
 
 export interface EngineState {
   engine: string
-  /** Changes whenever the engine's process starts anew: everything loaded before is gone. */
+  /** Changes whenever the engine's process restarts, which unloads everything. */
   incarnation: string
   fence: number
   checksFence: boolean
@@ -87,11 +87,11 @@
 
 export interface LoadReport {
   engine: string
-  /** When it was true, Unix epoch milliseconds. */
+  /** When the report was taken, Unix epoch milliseconds. */
   atMs: number
   running: number
   waiting: number
-  /** Tokens generated a second, lately. */
+  /** Tokens generated a second, in the recent past. */
   tokensPerSecond: number
   /** Share of the KV cache in use, 0 to 1. */
   cacheUse: number
@@ -107,7 +107,7 @@
 }
 
 export interface CacheEvents {
-  /** First sequence still held; anything between the caller's and this one is a gap. */
+  /** The first sequence number still kept; events between the requested one and this are missing. */
   oldest: number
   events: readonly CacheEvent[]
 }
--- a/packages/magnoliabay/src/node/backend/relay.ts
+++ b/packages/magnoliabay/src/node/backend/relay.ts
@@ -1,82 +1,82 @@
 /**
- * Sends a completion to an engine and relays the answer, whole or plainly cut.
+ * Sends a completion to an engine and relays the response, either complete or marked as cut off.
  */
 import type { ServerResponse } from 'node:http'
 import type { Dispatcher } from 'undici'
 import { createIndeterminateFailure } from '../failures'
 import type { ExchangeRequest } from './httpExchange'
 import { PRIORITY_HEADER, REQUEST_ID_HEADER } from './protocol'
-import { failedResult, runPart } from './relayConnection'
+import { toFailedResult, runPart } from './relayConnection'
 import type { PartResult } from './relayConnection'
-import { relayWhole } from './relayBuffered'
+import { relayBuffered } from './relayBuffered'
 import { createStreamState } from './relayStreamState'
 import type { StreamState } from './relayStreamState'
-import type { RelayOptions, RelayRequest, RelayResult, Relayed } from './relayTypes'
+import type { RelayOptions, RelayRequest, RelayResult, RelayAttempt } from './relayTypes'
 
-/** Connections that one broken stream may be continued on. */
+/** How often one broken stream may be resumed, each time on a new connection. */
 const MAX_RESUMES = 2
 
 export async function relayCompletion (options: RelayOptions, req: RelayRequest, res: ServerResponse, onFirstByte: () => void): Promise<RelayResult> {
-  const first = await attemptOn(options, options.connectionPools.of(req.address), req, req.engineRequestId, res, onFirstByte)
-  if (first.kind !== 'failed' || !first.isConnectionSuspect || req.signal.aborted || !req.tryTakeRetry()) return first.result
-  // The pooled connection may have gone silent, been closed meanwhile, or carried another request's answer,
-  // while new ones work: the caller would wait out its deadline. One try on a connection that nobody has used
-  // tells a bad connection from a bad engine.
-  const fresh = options.connectionPools.createUnpooled(req.address)
+  const firstAttempt = await runAttempt(options, options.connectionPools.of(req.address), req, req.engineRequestId, res, onFirstByte)
+  if (firstAttempt.kind !== 'failed' || !firstAttempt.isConnectionSuspect || req.signal.aborted || !req.tryTakeRetry()) return firstAttempt.result
+  // The pooled connection may have stopped responding, been closed meanwhile, or carried another request's
+  // response, while new connections work; the caller would then wait until its deadline. One attempt on a new
+  // connection distinguishes a faulty connection from a faulty engine.
+  const freshClient = options.connectionPools.createUnpooled(req.address)
   try {
-    const second = await attemptOn(options, fresh, req, `${req.engineRequestId}.fresh`, res, onFirstByte)
-    // The engine being unreachable now says no more about it than the first try did.
-    return second.kind === 'not-run' ? first.result : second.result
+    const secondAttempt = await runAttempt(options, freshClient, req, `${req.engineRequestId}.fresh`, res, onFirstByte)
+    // An engine that is unreachable now gives no more information than the first attempt did.
+    return secondAttempt.kind === 'not-run' ? firstAttempt.result : secondAttempt.result
   } finally {
-    fresh.destroy().catch(() => {})
+    freshClient.destroy().catch(() => {})
   }
 }
 
-interface Attempted {
+interface AttemptResult {
   kind: RelayResult['kind']
   result: RelayResult
   isConnectionSuspect: boolean
 }
 
-async function attemptOn (options: RelayOptions, dispatcher: Dispatcher, req: RelayRequest, engineRequestId: string, res: ServerResponse, onFirstByte: () => void): Promise<Attempted> {
-  const { execution: trail } = req
-  trail.record('send')
-  const attempt = { ...req, engineRequestId }
-  const result = req.isStream
-    ? await relayStreamed(options, dispatcher, attempt, res, onFirstByte)
-    : await relayWhole(options, dispatcher, attempt, exchangeRequestOf(options, attempt), res, onFirstByte)
-  trail.record(result.relayed.kind === 'not-run' || result.relayed.kind === 'refused' ? 'disclaim' : 'lose')
-  if (result.part.isLeftRunning) options.engineClient.cancel(req.address, engineRequestId)
-  return { kind: result.relayed.kind, result: result.relayed, isConnectionSuspect: result.part.isConnectionSuspect }
+async function runAttempt (options: RelayOptions, dispatcher: Dispatcher, req: RelayRequest, engineRequestId: string, res: ServerResponse, onFirstByte: () => void): Promise<AttemptResult> {
+  const { execution: tracker } = req
+  tracker.record('send')
+  const attemptRequest = { ...req, engineRequestId }
+  const relayAttempt = req.isStream
+    ? await relayStreamed(options, dispatcher, attemptRequest, res, onFirstByte)
+    : await relayBuffered(options, dispatcher, attemptRequest, exchangeRequestOf(options, attemptRequest), res, onFirstByte)
+  tracker.record(relayAttempt.result.kind === 'not-run' || relayAttempt.result.kind === 'refused' ? 'disclaim' : 'lose')
+  if (relayAttempt.part.isLeftRunning) options.engineClient.cancel(req.address, engineRequestId)
+  return { kind: relayAttempt.result.kind, result: relayAttempt.result, isConnectionSuspect: relayAttempt.part.isConnectionSuspect }
 }
 
-async function relayStreamed (options: RelayOptions, dispatcher: Dispatcher, req: RelayRequest, res: ServerResponse, onFirstByte: () => void): Promise<Relayed> {
+async function relayStreamed (options: RelayOptions, dispatcher: Dispatcher, req: RelayRequest, res: ServerResponse, onFirstByte: () => void): Promise<RelayAttempt> {
   const stream = createStreamState(options, req, res, onFirstByte)
   let part = await runPart(options, dispatcher, req, exchangeRequestOf(options, req), stream)
   for (let resumes = 0; resumes < MAX_RESUMES && canResume(part, stream, req); resumes += 1) {
-    const resumed = await resumePart(options, req, stream)
-    // An engine that doesn't hold the request any more leaves the first problem to be told.
-    if (resumed.kind === 'refused') break
-    part = resumed
+    const resumedPart = await resumePart(options, req, stream)
+    // Refused because the engine no longer keeps the request: the failure of the earlier part is reported.
+    if (resumedPart.kind === 'refused') break
+    part = resumedPart
   }
-  return { relayed: resultOf(part, stream), part }
+  return { result: toRelayResult(part, stream), part }
 }
 
-/** A stream that broke after it began goes on at the event that the caller lacks, on a fresh connection. */
+/** Returns whether a stream that broke after its first event may be resumed, on a new connection, at the next event. */
 function canResume (part: PartResult, stream: StreamState, req: RelayRequest): boolean {
   return part.kind === 'broken' && stream.isStarted() && !req.signal.aborted
 }
 
 async function resumePart (options: RelayOptions, req: RelayRequest, stream: StreamState): Promise<PartResult> {
-  const fresh = options.connectionPools.createUnpooled(req.address)
-  stream.restart()
-  const path = `/control/resume?request=${encodeURIComponent(req.engineRequestId)}&from=${stream.next()}`
+  const freshClient = options.connectionPools.createUnpooled(req.address)
+  stream.discardPartialEvent()
+  const path = `/control/resume?request=${encodeURIComponent(req.engineRequestId)}&from=${stream.nextIndex()}`
   const { engineGapMs } = options.limits
-  const resume: ExchangeRequest = { method: 'GET', path, headers: {}, firstByteMs: engineGapMs, gapMs: engineGapMs }
+  const resume: ExchangeRequest = { method: 'GET', path, headers: {}, firstByteTimeoutMs: engineGapMs, idleTimeoutMs: engineGapMs }
   try {
-    return await runPart(options, fresh, req, resume, stream)
+    return await runPart(options, freshClient, req, resume, stream)
   } finally {
-    fresh.destroy().catch(() => {})
+    freshClient.destroy().catch(() => {})
   }
 }
 
@@ -92,14 +92,14 @@
       [PRIORITY_HEADER]: String(req.priority),
       'x-team': req.team
     },
-    firstByteMs: req.isStream ? engineFirstByteMs : engineWholeMs,
-    gapMs: engineGapMs
+    firstByteTimeoutMs: req.isStream ? engineFirstByteMs : engineWholeMs,
+    idleTimeoutMs: engineGapMs
   }
 }
 
-function resultOf (part: PartResult, stream: StreamState): RelayResult {
+function toRelayResult (part: PartResult, stream: StreamState): RelayResult {
   if (part.kind === 'done') return { kind: 'answered', usedTokens: stream.usedTokens() }
   if (part.kind === 'stopped') return { kind: 'stopped', failure: createIndeterminateFailure('backend_failed', part.message), isConnectionBroken: false }
-  if (stream.isStarted()) return { kind: 'cut', failure: createIndeterminateFailure('answer_cut', part.message), isConnectionBroken: part.isDead }
-  return failedResult(part)
+  if (stream.isStarted()) return { kind: 'cut', failure: createIndeterminateFailure('answer_cut', part.message), isConnectionBroken: part.isConnectionBroken }
+  return toFailedResult(part)
 }
--- a/packages/magnoliabay/src/node/backend/relayConnection.ts
+++ b/packages/magnoliabay/src/node/backend/relayConnection.ts
@@ -1,4 +1,4 @@
-/** One connection's share of a streamed answer. */
+/** The part of a streamed response that is received over one connection. */
 import type { Dispatcher } from 'undici'
 import { createIndeterminateFailure, createRefusal } from '../failures'
 import { startExchange } from './httpExchange'
@@ -8,85 +8,88 @@
 import type { RelayOptions, RelayRequest, RelayResult } from './relayTypes'
 
 const HTTP_OK = 200
-const HTTP_TOO_MANY = 429
-/** Every engine would say the same. */
-const REQUEST_AT_FAULT: ReadonlySet<number> = new Set([400, 413, 422])
+const HTTP_TOO_MANY_REQUESTS = 429
+/** Statuses of an invalid request: every engine would refuse it. */
+const REQUEST_ERROR_STATUSES: ReadonlySet<number> = new Set([400, 413, 422])
 const MAX_ERROR_TEXT_BYTES = 200
-/** For an engine to end its response after the end mark, so that its connection can be used again, milliseconds. */
-const LINGER_MS = 500
+/** Longest wait for an engine to end its response after the end mark, so that its connection can be reused, milliseconds. */
+const CLOSE_TIMEOUT_MS = 500
 
-/** `done`: the end mark came. `refused`: the engine answered with an error. `stopped`: the request was given up. */
+/**
+ * `done`: the end mark arrived. `refused`: the engine answered with an error. `broken`: the connection failed, timed out
+ * or carried a wrong event. `stopped`: the request was aborted.
+ */
 export type PartKind = 'done' | 'refused' | 'broken' | 'stopped'
 
 export interface PartResult {
   kind: PartKind
   message: string
   status: number
-  /** Certainly nothing of the request ran. */
+  /** The request was certainly not run, not even in part. */
   isNotRun: boolean
-  /** The fault may lie in this connection alone. */
+  /** Only this connection may be faulty, and not the engine. */
   isConnectionSuspect: boolean
-  /** The engine may still be working on it for nobody. */
+  /** The engine may still be running the request, though its response is no longer read. */
   isLeftRunning: boolean
-  /** The connection broke off: the engine's process may have died. */
-  isDead: boolean
+  /** The connection broke: the engine's process may have terminated. */
+  isConnectionBroken: boolean
 }
 
-/** What an answer's head says, and the text of a refusal. */
-export interface Head {
+/** Status and relevant headers of a response, and the text of a refusal. */
+export interface ResponseHead {
   status: number
-  isForeign: boolean
+  isForOtherRequest: boolean
   isNotRun: boolean
   errorText: string
 }
 
-export function createHead (): Head {
-  return { status: 0, isForeign: false, isNotRun: false, errorText: '' }
+export function createResponseHead (): ResponseHead {
+  return { status: 0, isForOtherRequest: false, isNotRun: false, errorText: '' }
 }
 
-/** Reads an answer's head. An answer that doesn't name this very request says nothing about it. */
-export function readHead (head: Head, requestId: string, status: number, headers: ResponseHeaders): void {
+/** Reads the head of a response. A response without this request's id is not evidence about the request. */
+export function readResponseHead (head: ResponseHead, requestId: string, status: number, headers: ResponseHeaders): void {
   head.status = status
-  const isMine = headers[REQUEST_ID_HEADER] === requestId
-  head.isForeign = headers[REQUEST_ID_HEADER] === undefined ? status === HTTP_OK : !isMine
-  head.isNotRun = isMine && status !== HTTP_OK && headers[NOT_RUN_HEADER] === 'true'
+  const isForThisRequest = headers[REQUEST_ID_HEADER] === requestId
+  head.isForOtherRequest = headers[REQUEST_ID_HEADER] === undefined ? status === HTTP_OK : !isForThisRequest
+  head.isNotRun = isForThisRequest && status !== HTTP_OK && headers[NOT_RUN_HEADER] === 'true'
 }
 
 export async function runPart (options: RelayOptions, dispatcher: Dispatcher, req: RelayRequest, exchangeReq: ExchangeRequest, stream: StreamState): Promise<PartResult> {
-  const head = createHead()
+  const head = createResponseHead()
   let isDone = false
   let problem = ''
-  let cancelLinger = (): void => {}
+  let cancelCloseTimer = (): void => {}
   const exchange = startExchange(dispatcher, options.clock, exchangeReq, {
     onHead: (status, headers) => {
-      readHead(head, req.engineRequestId, status, headers)
-      if (head.isForeign) exchange.stop('The engine answered another request.')
+      readResponseHead(head, req.engineRequestId, status, headers)
+      if (head.isForOtherRequest) exchange.stop('The engine answered another request.')
     },
     onData: chunk => {
-      if (head.status !== HTTP_OK) return addErrorText(head, chunk)
+      if (head.status !== HTTP_OK) return appendErrorText(head, chunk)
       if (isDone) return exchange.stop('The engine went on after the end of its answer.')
-      const pushed = stream.push(chunk)
-      isDone = pushed.isDone
+      const pushResult = stream.push(chunk)
+      isDone = pushResult.isDone
       if (isDone) {
         stream.end()
-        cancelLinger = options.clock.schedule(LINGER_MS, () => exchange.stop('The engine kept its connection open after the end.'))
+        cancelCloseTimer = options.clock.schedule(CLOSE_TIMEOUT_MS, () => exchange.stop('The engine kept its connection open after the end.'))
       }
-      if (pushed.problem !== undefined) {
-        problem = `The engine sent a ${pushed.problem} event.`
+      if (pushResult.problem !== undefined) {
+        problem = `The engine sent a ${pushResult.problem} event.`
         exchange.stop(problem)
-      } else if (!pushed.hasRoom && !isDone) {
+      } else if (!pushResult.isWritable && !isDone) {
         exchange.pause()
       }
     }
   })
-  stream.setOnRoom(() => exchange.resume())
-  const end = await untilEnded(exchange, req.signal)
-  cancelLinger()
-  return describe(end, head, isDone, req.signal, problem)
+  stream.setOnDrain(() => exchange.resume())
+  const end = await waitForEnd(exchange, req.signal)
+  cancelCloseTimer()
+  return toPartResult(end, head, isDone, req.signal, problem)
 }
 
-/** Waits for the end; an abort of the request stops the exchange. */
-export async function untilEnded (exchange: { ended: Promise<HttpExchangeEnd>, stop: (message: string) => void }, signal: AbortSignal): Promise<HttpExchangeEnd> {
+/** Waits until the exchange has ended; stops it when the request is aborted. */
+export async function waitForEnd (exchange: { ended: Promise<HttpExchangeEnd>, stop: (message: string) => void }, signal: AbortSignal): Promise<HttpExchangeEnd> {
   const onAbort = (): void => exchange.stop('The request was given up.')
   if (signal.aborted) onAbort()
   signal.addEventListener('abort', onAbort, { once: true })
@@ -95,11 +98,11 @@
   return end
 }
 
-export function addErrorText (head: Head, chunk: Buffer): void {
+export function appendErrorText (head: ResponseHead, chunk: Buffer): void {
   if (head.errorText.length < MAX_ERROR_TEXT_BYTES) head.errorText += chunk.toString('utf8').slice(0, MAX_ERROR_TEXT_BYTES)
 }
 
-export function describe (end: HttpExchangeEnd, head: Head, isDone: boolean, signal: AbortSignal, problem: string): PartResult {
+export function toPartResult (end: HttpExchangeEnd, head: ResponseHead, isDone: boolean, signal: AbortSignal, problem: string): PartResult {
   const result: PartResult = {
     kind: 'broken',
     message: problem || end.message || 'The engine ended the answer before it was whole.',
@@ -107,22 +110,22 @@
     isNotRun: !end.isSent,
     isConnectionSuspect: false,
     isLeftRunning: false,
-    isDead: false
+    isConnectionBroken: false
   }
   if (isDone) return { ...result, kind: 'done' }
   if (signal.aborted) return { ...result, kind: 'stopped', isLeftRunning: end.isSent }
   if (!end.isSent) return result
-  if (head.status !== 0 && head.status !== HTTP_OK && !head.isForeign) {
+  if (head.status !== 0 && head.status !== HTTP_OK && !head.isForOtherRequest) {
     return { ...result, kind: 'refused', isNotRun: head.isNotRun, message: `The engine answered with status ${head.status}: ${head.errorText}` }
   }
-  return { ...result, isConnectionSuspect: true, isLeftRunning: true, isDead: end.kind === 'broken' }
+  return { ...result, isConnectionSuspect: true, isLeftRunning: true, isConnectionBroken: end.kind === 'broken' }
 }
 
-/** What a part that gave the caller nothing comes to. */
-export function failedResult (part: PartResult): RelayResult {
+/** Returns the result of a part of which nothing was sent to the caller. */
+export function toFailedResult (part: PartResult): RelayResult {
   if (part.kind === 'stopped') return { kind: 'stopped', failure: createIndeterminateFailure('backend_failed', part.message), isConnectionBroken: false }
-  if (part.isNotRun && part.status === HTTP_TOO_MANY) return { kind: 'refused', failure: createRefusal('overloaded', part.message, 1) }
-  if (part.isNotRun && REQUEST_AT_FAULT.has(part.status)) return { kind: 'refused', failure: createRefusal('bad_request', part.message) }
+  if (part.isNotRun && part.status === HTTP_TOO_MANY_REQUESTS) return { kind: 'refused', failure: createRefusal('overloaded', part.message, 1) }
+  if (part.isNotRun && REQUEST_ERROR_STATUSES.has(part.status)) return { kind: 'refused', failure: createRefusal('bad_request', part.message) }
   if (part.isNotRun) return { kind: 'not-run', failure: createRefusal('backend_failed', part.message, 1) }
-  return { kind: 'failed', failure: createIndeterminateFailure('backend_failed', part.message), isConnectionBroken: part.isDead }
+  return { kind: 'failed', failure: createIndeterminateFailure('backend_failed', part.message), isConnectionBroken: part.isConnectionBroken }
 }
--- a/packages/magnoliabay/src/node/backend/relayStreamState.ts
+++ b/packages/magnoliabay/src/node/backend/relayStreamState.ts
@@ -1,4 +1,4 @@
-/** One streamed answer on its way to the caller, over all the connections that it takes. */
+/** State of one streamed response, across all connections on which it is received. */
 import type { ServerResponse } from 'node:http'
 import { createCallerStream } from './callerStream'
 import type { RelayOptions, RelayRequest } from './relayTypes'
@@ -8,45 +8,46 @@
 
 export interface StreamState {
   isStarted (): boolean
-  /** Index of the event that the caller lacks. */
-  next (): number
-  /** Tokens that the engine says it used, once the stream is done. */
+  /** Index of the next event to send to the caller. */
+  nextIndex (): number
+  /** Tokens used as reported by the engine, once the stream is done. */
   usedTokens (): number | undefined
-  restart (): void
-  push (chunk: Buffer): Pushed
-  /** Called when the caller has room again. */
-  setOnRoom (onRoom: () => void): void
+  /** Forgets an incomplete event, before the stream is resumed on a new connection. */
+  discardPartialEvent (): void
+  push (chunk: Buffer): PushResult
+  /** Sets the function that is called when the caller can be written to again. */
+  setOnDrain (onDrain: () => void): void
   end (): void
 }
 
-export interface Pushed {
-  hasRoom: boolean
+export interface PushResult {
+  isWritable: boolean
   isDone: boolean
   problem?: StreamProblem
 }
 
 export function createStreamState (options: RelayOptions, req: RelayRequest, res: ServerResponse, onFirstByte: () => void): StreamState {
   const scanner = createEventScanner(req.engineRequestId)
-  let onRoom = (): void => {}
+  let onDrain = (): void => {}
   const caller = createCallerStream({
     res,
     requestId: req.requestId,
     clock: options.clock,
-    stallMs: options.limits.callerStallMs,
+    stallTimeoutMs: options.limits.callerStallMs,
     onFirstByte,
-    onRoom: () => onRoom()
+    onDrain: () => onDrain()
   })
   return {
     isStarted: caller.isStarted,
-    next: scanner.next,
+    nextIndex: scanner.nextIndex,
     usedTokens: () => parseUsedTokens(scanner.lastData()),
-    restart: scanner.restart,
+    discardPartialEvent: scanner.discardPartialEvent,
     push: chunk => {
       const { events, isDone, problem } = scanner.push(chunk)
-      const hasRoom = events.length === 0 || caller.write(events)
-      return { hasRoom, isDone, problem }
+      const isWritable = events.length === 0 || caller.write(events)
+      return { isWritable, isDone, problem }
     },
-    setOnRoom: handler => { onRoom = handler },
+    setOnDrain: handler => { onDrain = handler },
     end: caller.end
   }
 }
--- a/packages/magnoliabay/src/node/backend/relayTypes.ts
+++ b/packages/magnoliabay/src/node/backend/relayTypes.ts
@@ -1,4 +1,4 @@
-/** What relaying a completion takes, and what it comes to. */
+/** Options, requests and results of relaying a completion. */
 import type { Clock } from '../clock'
 import type { Failure } from '../failures'
 import type { ExecutionTracker } from '../outcomes'
@@ -6,13 +6,13 @@
 import type { PartResult } from './relayConnection'
 
 export interface RelayLimits {
-  /** Longest silence before the first byte of a streamed answer, milliseconds. */
+  /** Longest wait for the first byte of a streamed response, milliseconds. */
   engineFirstByteMs: number
-  /** Longest wait for an answer that comes in one body, milliseconds. */
+  /** Longest wait for a response with a single body, milliseconds. */
   engineWholeMs: number
-  /** Longest silence within an answer, milliseconds. */
+  /** Longest pause within a response, milliseconds. */
   engineGapMs: number
-  /** Longest time that a caller may take nothing of its answer, milliseconds. */
+  /** Longest time that a caller may read nothing of its response, milliseconds. */
   callerStallMs: number
 }
 
@@ -26,9 +26,9 @@
 export interface RelayRequest {
   address: string
   path: string
-  /** Id towards the caller. */
+  /** The request id that the caller sees. */
   requestId: string
-  /** Id towards the engine: differs for each attempt, so that a late answer to an earlier one matches nothing. */
+  /** The request id that the engine sees: differs for each attempt, so that a late response to an earlier one is not matched. */
   engineRequestId: string
   team: string
   priority: number
@@ -36,21 +36,21 @@
   isStream: boolean
   signal: AbortSignal
   execution: ExecutionTracker
-  /** Asked before the request is sent again on a fresh connection. */
+  /** Takes a retry from the budget before the request is sent again on a new connection; false when none is left. */
   tryTakeRetry: () => boolean
 }
 
 /**
- * `answered`: the caller has the whole answer. `not-run`: the engine certainly ran nothing; try elsewhere.
- * `failed`: nothing has reached the caller yet. `cut`: part of the answer has. `stopped`: the request's
- * deadline passed, its caller went or its key was withdrawn. `refused`: not run, and not to be tried elsewhere.
+ * `answered`: the caller has the whole response. `not-run`: the engine certainly did not run it; it may be sent to
+ * another. `failed`: nothing has been sent to the caller yet. `cut`: part of the response has. `stopped`: the request's
+ * deadline passed, its caller disconnected or its key was withdrawn. `refused`: not run, and not to be retried.
  */
 export type RelayResult =
   | { kind: 'answered', usedTokens?: number }
   | { kind: 'not-run' | 'refused', failure: Failure }
   | { kind: 'failed' | 'cut' | 'stopped', failure: Failure, isConnectionBroken: boolean }
 
-export interface Relayed {
-  relayed: RelayResult
+export interface RelayAttempt {
+  result: RelayResult
   part: Pick<PartResult, 'isConnectionSuspect' | 'isLeftRunning'>
 }
--- a/packages/magnoliabay/src/node/backend/serviceCall.ts
+++ b/packages/magnoliabay/src/node/backend/serviceCall.ts
@@ -1,10 +1,10 @@
-/** One call of a plain service, answered in full or not at all. */
+/** One call to a plain service, whose response is returned in full or not at all. */
 import type { Clock } from '../clock'
 import type { ConnectionPools } from './engineClient'
 import { startExchange } from './httpExchange'
 import type { ExchangeRequest, HttpMethod, ResponseHeaders } from './httpExchange'
 import { NOT_RUN_HEADER, REQUEST_ID_HEADER } from './protocol'
-import { untilEnded } from './relayConnection'
+import { waitForEnd } from './relayConnection'
 
 export interface ServiceCallRequest {
   address: string
@@ -13,9 +13,9 @@
   headers: Readonly<Record<string, string>>
   body: Buffer
   requestId: string
-  /** Longest wait for the answer, and longest silence within it, milliseconds. */
+  /** Longest wait for the response, and longest pause within it, milliseconds. */
   responseTimeoutMs: number
-  /** The call may be repeated without harm. */
+  /** The call may safely be repeated. */
   isIdempotent: boolean
   signal: AbortSignal
 }
@@ -27,8 +27,8 @@
 }
 
 /**
- * `answered`: the service's whole answer. `not-run`: certainly not run; it may be sent elsewhere.
- * `lost`: it may have run. `stopped`: given up by the caller's side; `isSent` tells whether it may have run.
+ * `answered`: the service's whole response. `not-run`: certainly not run; it may be sent to another server.
+ * `lost`: it may have run. `stopped`: aborted on the caller's side; `isSent` says whether it may have run.
  */
 export type ServiceCallResult =
   | { kind: 'answered', answer: ServiceResponse }
@@ -41,45 +41,45 @@
   clock: Clock
 }
 
-const MAX_ANSWER_BYTES = 16 * 1_048_576
+const MAX_RESPONSE_BYTES = 16 * 1_048_576
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream'
 const HTTP_UNAVAILABLE = 503
 
 export async function callService (options: ServiceCallOptions, req: ServiceCallRequest): Promise<ServiceCallResult> {
-  if (req.isIdempotent) return await callOver(options, req, options.connectionPools.of(req.address))
-  // On a kept connection nobody can tell whether a call that met its closing was read by the service. On a
-  // new one either the connection fails, and nothing was sent, or the call may have run: no third case.
-  const fresh = options.connectionPools.createUnpooled(req.address)
+  if (req.isIdempotent) return await sendCall(options, req, options.connectionPools.of(req.address))
+  // If the service closes a kept-alive connection while a call is being sent, it is unknown whether the service read
+  // the call. On a new connection, either connecting fails and nothing was sent, or the call may have run.
+  const freshClient = options.connectionPools.createUnpooled(req.address)
   try {
-    return await callOver(options, req, fresh)
+    return await sendCall(options, req, freshClient)
   } finally {
-    fresh.destroy().catch(() => {})
+    freshClient.destroy().catch(() => {})
   }
 }
 
-async function callOver (options: ServiceCallOptions, req: ServiceCallRequest, dispatcher: Parameters<typeof startExchange>[0]): Promise<ServiceCallResult> {
+async function sendCall (options: ServiceCallOptions, req: ServiceCallRequest, dispatcher: Parameters<typeof startExchange>[0]): Promise<ServiceCallResult> {
   const chunks: Buffer[] = []
   let size = 0
   let status = 0
   let headers: ResponseHeaders = {}
   let problem = ''
-  const exchange = startExchange(dispatcher, options.clock, exchangeOf(req), {
-    onHead: (answered, received) => {
-      status = answered
-      headers = received
-      if (!isForeign(headers, req.requestId)) return
+  const exchange = startExchange(dispatcher, options.clock, exchangeRequestOf(req), {
+    onHead: (responseStatus, responseHeaders) => {
+      status = responseStatus
+      headers = responseHeaders
+      if (!isForOtherRequest(headers, req.requestId)) return
       problem = 'The service answered another request.'
       exchange.stop(problem)
     },
     onData: chunk => {
       chunks.push(chunk)
       size += chunk.length
-      if (size <= MAX_ANSWER_BYTES) return
-      problem = `The service's answer has more than ${MAX_ANSWER_BYTES} bytes.`
+      if (size <= MAX_RESPONSE_BYTES) return
+      problem = `The service's answer has more than ${MAX_RESPONSE_BYTES} bytes.`
       exchange.stop(problem)
     }
   })
-  const end = await untilEnded(exchange, req.signal)
+  const end = await waitForEnd(exchange, req.signal)
   if (end.kind === 'complete') {
     const isNotRun = headers[NOT_RUN_HEADER] === 'true' && headers[REQUEST_ID_HEADER] === req.requestId
     if (isNotRun) return { kind: 'not-run', message: `The service refused with status ${status}.`, isLeaving: status === HTTP_UNAVAILABLE }
@@ -91,20 +91,20 @@
   return { kind: 'lost', message: problem || end.message }
 }
 
-function exchangeOf (req: ServiceCallRequest): ExchangeRequest {
-  const { method, path, body, responseTimeoutMs: answerMs } = req
+function exchangeRequestOf (req: ServiceCallRequest): ExchangeRequest {
+  const { method, path, body, responseTimeoutMs } = req
   return {
     method,
     path,
     body: body.length === 0 ? undefined : body,
     headers: { ...req.headers, [REQUEST_ID_HEADER]: req.requestId },
-    firstByteMs: answerMs,
-    gapMs: answerMs
+    firstByteTimeoutMs: responseTimeoutMs,
+    idleTimeoutMs: responseTimeoutMs
   }
 }
 
-/** Plain services need not repeat the request's id; one that names another request answers that one. */
-function isForeign (headers: ResponseHeaders, requestId: string): boolean {
-  const named = headers[REQUEST_ID_HEADER]
-  return named !== undefined && named !== requestId
+/** Plain services need not repeat the request's id; a response with a different id belongs to another request. */
+function isForOtherRequest (headers: ResponseHeaders, requestId: string): boolean {
+  const receivedId = headers[REQUEST_ID_HEADER]
+  return receivedId !== undefined && receivedId !== requestId
 }
--- a/packages/magnoliabay/src/node/backend/tokenUsage.ts
+++ b/packages/magnoliabay/src/node/backend/tokenUsage.ts
@@ -1,17 +1,17 @@
-/** What an engine says that an answer used. */
+/** Reads the token usage that an engine reports in a response. */
 
-interface WithUsage {
+interface ResponseWithUsage {
   usage?: { total_tokens?: unknown } | null
 }
 
-/** Total tokens by the answer's own account; undefined when it is missing or makes no sense. */
+/** Returns the total number of tokens that the response reports; undefined when it is missing or invalid. */
 export function parseUsedTokens (json: string): number | undefined {
-  const parsed = parseJsonObject(json) as WithUsage | undefined
+  const parsed = parseJsonObject(json) as ResponseWithUsage | undefined
   const total = parsed?.usage?.total_tokens
   return typeof total === 'number' && Number.isFinite(total) && total >= 0 ? total : undefined
 }
 
-/** The object that `json` holds; undefined for anything else, such as a body that was cut. */
+/** Returns the object that `json` contains; undefined for anything else, such as a truncated body. */
 export function parseJsonObject (json: string): object | undefined {
   try {
     const value: unknown = JSON.parse(json)
