--- a/packages/magnoliabay/src/node/platform/configDocument.ts
+++ b/packages/magnoliabay/src/node/platform/configDocument.ts
@@ -1,16 +1,16 @@
-/** The configuration that the operator writes to the store, decoded. */
+/** Decodes the configuration that the operator writes to the store. */
 import * as v from 'valibot'
 import type { ModelSpec, RequestKind, Route, Service, ServingConfig, Team } from '../serving/types'
 import { parseJson } from '../utils'
 
-/** Prefix of all that the operator writes. */
+/** Prefix of all keys that the operator writes. */
 export const OPERATOR_PREFIX = 'op/'
-/** Key of the newest configuration. */
+/** Key of the latest configuration. */
 export const CONFIG_KEY = 'op/config'
-/** Each key below names a failure domain whose servers are to get nothing new while it is there. */
+/** Prefix of evacuations: while a key below it exists, the servers of the failure domain that it names get no new requests. */
 export const EVACUATIONS_PREFIX = 'op/evacuate/'
 
-const KINDS: Record<string, RequestKind> = { idempotent: 'idempotent', non_idempotent: 'non-idempotent', streaming: 'stream' }
+const REQUEST_KINDS: Record<string, RequestKind> = { idempotent: 'idempotent', non_idempotent: 'non-idempotent', streaming: 'stream' }
 const DEFAULT_TIMEOUT_MS = 30_000
 const MS_PER_SECOND = 1000
 
@@ -44,7 +44,7 @@
   name: v.string(),
   'connection-limit': v.optional(v.number(), 100),
   'cold-start-s': v.optional(v.number(), 0),
-  // 0 where nothing is bounded.
+  // 0 means no limit.
   'cold-per-s': v.optional(v.number(), 0),
   engine: v.optional(v.nullable(v.object({
     slots: v.number(),
@@ -79,7 +79,7 @@
   }), {})
 })
 
-/** Decodes the document, or returns undefined where it is none. */
+/** Decodes the document; returns undefined when it is invalid. */
 export function decodeConfig (text: string): ServingConfig | undefined {
   const checked = v.safeParse(wireConfig, parseJson(text))
   if (!checked.success) return undefined
@@ -99,12 +99,12 @@
 }
 
 function toRoute (wire: v.InferOutput<typeof wireRoute>): Route {
-  const single = wire.service == null ? [] : [{ service: wire.service, weight: 1 }]
+  const singleService = wire.service == null ? [] : [{ service: wire.service, weight: 1 }]
   return {
     name: wire.name,
     host: wire.hostname,
     prefix: wire.prefix,
-    kind: KINDS[wire['route-kind']] ?? 'non-idempotent',
+    kind: REQUEST_KINDS[wire['route-kind']] ?? 'non-idempotent',
     timeoutMs: wire['timeout-ms'],
     latencyObjectiveMs: wire['target-latency-ms'],
     maxEventGapMs: wire['gap-target-ms'],
@@ -112,7 +112,7 @@
     maxAttempts: wire['max-attempts'],
     isAnonymous: wire.anonymous,
     isResumable: wire.resumable,
-    services: wire['traffic-split'] ?? single
+    services: wire['traffic-split'] ?? singleService
   }
 }
 
@@ -143,7 +143,7 @@
   return {
     name: wire.name,
     weightsMb: wire['weights-mb'],
-    // The configuration gives their number only; they are named by it.
+    // The configuration gives only the number of adapters; their names are derived from it.
     adapters: Array.from({ length: wire.adapters }, (_, index) => `a${index + 1}`),
     adapterMb: wire['adapter-size-mb'],
     loadMs: {
--- a/packages/magnoliabay/src/node/platform/discovery.ts
+++ b/packages/magnoliabay/src/node/platform/discovery.ts
@@ -1,11 +1,11 @@
-/** What the platform and the callers ask a process: whether it is ready, and where to connect. */
+/** HTTP endpoints for the readiness check of the platform and for address resolution by callers. */
 import { createServer } from 'node:http'
 import type { RequestListener, ServerResponse } from 'node:http'
 import polka from 'polka'
 import { listenOn } from '../utils'
 
-/** How long callers are told to keep an answer, seconds: short, so that an instance that leaves is forgotten soon. */
-const RESOLUTION_TTL_S = 2
+/** How long callers may cache a resolution, seconds: short, so that callers soon stop using an instance that leaves. */
+const RESOLUTION_TTL_SECONDS = 2
 const MAX_ADDRESSES = 64
 
 export interface DiscoveryOptions {
@@ -22,19 +22,19 @@
   close (): void
 }
 
-function answerJson (res: ServerResponse, status: number, body: object): void {
+function sendJson (res: ServerResponse, status: number, body: object): void {
   res.writeHead(status, { 'content-type': 'application/json' })
   res.end(JSON.stringify(body))
 }
 
 export function createDiscovery (options: DiscoveryOptions): Discovery {
   const { isReady, addressesFor } = options
-  const ttlSeconds = Math.min(RESOLUTION_TTL_S, options.maxResolutionTtlMs / 1000)
-  const readinessApp = polka().get('/-/readiness', (_req, res) => answerJson(res, isReady() ? 200 : 503, {}))
+  const ttlSeconds = Math.min(RESOLUTION_TTL_SECONDS, options.maxResolutionTtlMs / 1000)
+  const readinessApp = polka().get('/-/readiness', (_req, res) => sendJson(res, isReady() ? 200 : 503, {}))
   const resolutionApp = polka().get('/-/resolution', (req, res) => {
     const addresses = addressesFor(req.query.zone as string | undefined).slice(0, MAX_ADDRESSES)
-    if (addresses.length === 0) return answerJson(res, 503, {})
-    answerJson(res, 200, { addresses, 'ttl-s': ttlSeconds })
+    if (addresses.length === 0) return sendJson(res, 503, {})
+    sendJson(res, 200, { addresses, 'ttl-s': ttlSeconds })
   })
   const readiness = createServer(readinessApp.handler as RequestListener)
   const resolution = createServer(resolutionApp.handler as RequestListener)
--- a/packages/magnoliabay/src/node/platform/engineCalls.ts
+++ b/packages/magnoliabay/src/node/platform/engineCalls.ts
@@ -1,4 +1,4 @@
-/** Reports of engines and orders to them. */
+/** Fetches reports from engines and sends orders to them. */
 import type { Pool } from 'undici'
 import type { Clock } from '../clock'
 import type { EngineCalls, EngineOrder, EngineReport, OrderOutcome } from '../serving/engineCalls'
@@ -8,7 +8,7 @@
 import { createPool } from './httpPool'
 import { messageOf, parseJson } from '../utils'
 
-/** An engine answers within milliseconds; one that does not is out of reach, or its answer is lost. */
+/** Engines answer within milliseconds; on a timeout the engine is unreachable, or its response is lost. */
 const CALL_TIMEOUT_MS = 1000
 
 interface WireReport {
@@ -22,7 +22,7 @@
   available?: { 'in-memory'?: string[], 'on-disk'?: string[] }
 }
 
-const OUTCOMES: Record<number, OrderOutcome> = {
+const ORDER_OUTCOMES: Record<number, OrderOutcome> = {
   200: 'holds-already',
   202: 'accepted',
   400: 'refused',
@@ -66,7 +66,7 @@
     sendOrder: async (server, order) => {
       const res = await call(server, 'POST', '/-/order', toWire(order))
       if (res.err) return 'unanswered'
-      return OUTCOMES[res.val.status] ?? 'refused'
+      return ORDER_OUTCOMES[res.val.status] ?? 'refused'
     },
     closeConnections: address => {
       pools.get(address)?.destroy()
--- a/packages/magnoliabay/src/node/platform/index.ts
+++ b/packages/magnoliabay/src/node/platform/index.ts
@@ -1,4 +1,4 @@
-/** The adapter to the users' platform: names, formats and calls, and nothing that decides. */
+/** The adapter to the users' platform. It contains only names, formats and calls, and makes no decisions. */
 import { CONFIG_KEY, EVACUATIONS_PREFIX, OPERATOR_PREFIX, decodeConfig } from './configDocument'
 import { decodeResponseHead, decodeCallerRequest, toBackendHeaders, toCallerHeaders } from './requestHeaders'
 import { SERVERS_PREFIX, decodeServer } from './serverEntry'
--- a/packages/magnoliabay/src/node/platform/metadataStore.ts
+++ b/packages/magnoliabay/src/node/platform/metadataStore.ts
@@ -1,7 +1,8 @@
 /**
- * The `Store` interface over the platform's metadata store. A watch serves all prefixes of a feed, since the store
- * counts each waiting call. The store may go on from a copy some seconds old (`store/eras.ts`): conditions, leases and
- * watches of an earlier era are never sent, and what was sent in one era and answered in another counts as unknown.
+ * Implements the `Store` interface for the platform's metadata store. One watch call serves all prefixes below that of a
+ * `PrefixWatch`, since the store counts each waiting call. The store may be restored from a copy some seconds old
+ * (`store/eras.ts`): conditions, leases and watches of an earlier era are never sent, and the outcome of a call that was
+ * sent in one era and answered in another counts as unknown.
  */
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
@@ -15,11 +16,11 @@
 import { createPool } from './httpPool'
 import { addCount, messageOf, parseJson } from '../utils'
 
-/** A call that nobody answered for this long counts as lost; the store answers in milliseconds, slow ones in tenths of a second. */
+/** A call without an answer for this long counts as lost. The store usually answers in milliseconds, slow calls in tenths of a second. */
 const CALL_TIMEOUT_MS = 1500
 const MAX_CONNECTIONS = 6
-/** How often it is told what calls were made for: each is paid for. */
-const TELL_CALLS_PERIOD_MS = 10_000
+/** How often the number of calls by name is logged: the platform charges for each call. */
+const LOG_CALLS_INTERVAL_MS = 10_000
 
 export interface MetadataStoreOptions {
   /** `ip:port` */
@@ -29,10 +30,10 @@
 }
 
 export interface MetadataStore extends Store, Pick<StoreConnectivity, 'lastContactMs' | 'reachableSinceMs'> {
-  /** Rises whenever the store has gone on from an older copy of itself; 0 while none is known. */
+  /** The era of the store, which rises whenever the store is restored from an older copy; 0 while unknown. */
   era (): number
-  /** Begins to watch; prefixes are to be registered before, each within one of the feeds. */
-  start (signal: AbortSignal, feeds: readonly PrefixWatch[]): void
+  /** Starts watching. Prefixes must be registered with `watch` before, each below the prefix of one of `prefixWatches`. */
+  start (signal: AbortSignal, prefixWatches: readonly PrefixWatch[]): void
   close (): Promise<void>
 }
 
@@ -45,7 +46,7 @@
   deleted?: boolean
 }
 
-interface Answer {
+interface StoreResponse {
   status: number
   body: unknown
   era: number
@@ -55,7 +56,7 @@
   body?: object
   /** @default CALL_TIMEOUT_MS */
   timeoutMs?: number
-  /** Ends the call from here. */
+  /** Aborts the call. */
   signal?: AbortSignal
 }
 
@@ -64,7 +65,7 @@
   handlers: WatchHandlers
 }
 
-/** Of the store that gave an answer; 0 where it names none. */
+/** Reads the era from the header of a response; 0 when there is none. */
 function decodeEra (header: string | string[] | undefined): number {
   const era = Number(header ?? 0)
   return Number.isSafeInteger(era) && era > 0 ? era : 0
@@ -81,14 +82,14 @@
   return { kind: item.deleted === true ? 'delete' : 'put', key: item.key, value: decode(item.value), createRevision: toRevision(era, item.created ?? 0), modRevision: toRevision(era, item.revision) }
 }
 
-/** Eras of all that a transaction rests on: of its conditions, and of the leases that it writes under. */
+/** Returns the eras that a transaction depends on: those of its conditions and of the leases that it writes under. */
 function erasOf ({ compares, writes }: Transaction): number[] {
   const ofCompares = compares.flatMap(compare => eraOfCompare(compare) ?? [])
   const ofLeases = writes.flatMap(op => op.kind === 'put' && op.leaseId !== undefined ? [eraOfLease(op.leaseId)] : [])
   return [...ofCompares, ...ofLeases]
 }
 
-/** Method and kind of a call, for logs: without the id of a lease, and with what is read or watched. */
+/** Returns the name of a call for logs: its method, its path without a lease id, and the key or prefix read or watched. */
 function callName (method: string, path: string): string {
   const [call = '', query] = path.split('?')
   const parameters = new URLSearchParams(query)
@@ -96,7 +97,7 @@
   return `${method} ${call.split('/').slice(0, 3).join('/')} ${subject}`.trim()
 }
 
-/** The store's conditions are on the last change alone; an absent key has revision 0 either way. */
+/** The store compares only the revision of the last change; for an absent key it is 0, like the revision of creation. */
 function toPrecondition ({ key, target, equals }: Compare): { key: string, revision: number } | undefined {
   if (typeof equals !== 'number' || target === 'value' || (target === 'create' && equals !== 0)) return undefined
   return { key, revision: toStoredRevision(equals) }
@@ -106,31 +107,31 @@
   const { address, clock, logger } = options
   const pool = createPool(`http://${address}`, { connections: MAX_CONNECTIONS, pipelining: 1, connect: { timeout: CALL_TIMEOUT_MS }, headersTimeout: 0, bodyTimeout: 0 })
   const subscribers: Subscriber[] = []
-  const reach = createStoreConnectivity({ address, clock, logger })
+  const connectivity = createStoreConnectivity({ address, clock, logger })
   let era = 0
-  const noteEra = (answered: number): void => {
-    if (answered <= era) return
+  const recordEra = (receivedEra: number): void => {
+    if (receivedEra <= era) return
     const before = era
-    era = answered
-    // The first one that a process hears of is no news.
+    era = receivedEra
+    // The first era that a process learns of is not a restore.
     if (before === 0) return
-    logger.warn('store-set-back', { era, before, outcome: 'everything is read anew' })
-    reach.recordRollback()
+    logger.warn('store-set-back', { era, before, outcome: 'everything is read again' })
+    connectivity.recordRollback()
   }
-  /** Since they were last told, by name. */
-  const calls = new Map<string, number>()
-  const tellCalls = (): void => {
-    if (calls.size > 0) logger.info('store-calls', { calls: [...calls].map(([name, count]) => `${name}: ${count}`) })
-    calls.clear()
+  /** Number of calls since the last log line, by name of the call. */
+  const callCounts = new Map<string, number>()
+  const logCalls = (): void => {
+    if (callCounts.size > 0) logger.info('store-calls', { calls: [...callCounts].map(([name, count]) => `${name}: ${count}`) })
+    callCounts.clear()
   }
 
-  const call = async (method: 'GET' | 'POST' | 'DELETE', path: string, { body, timeoutMs = CALL_TIMEOUT_MS, signal }: CallOptions = {}): Promise<Result<Answer, StoreError>> => {
+  const call = async (method: 'GET' | 'POST' | 'DELETE', path: string, { body, timeoutMs = CALL_TIMEOUT_MS, signal }: CallOptions = {}): Promise<Result<StoreResponse, StoreError>> => {
     const abort = new AbortController()
-    const end = (): void => abort.abort()
-    const cancel = clock.schedule(timeoutMs, end)
-    signal?.addEventListener('abort', end, { once: true })
+    const abortCall = (): void => abort.abort()
+    const cancel = clock.schedule(timeoutMs, abortCall)
+    signal?.addEventListener('abort', abortCall, { once: true })
     const name = callName(method, path)
-    addCount(calls, name, 1)
+    addCount(callCounts, name, 1)
     try {
       const res = await pool.request({
         method,
@@ -140,35 +141,35 @@
         body: body === undefined ? undefined : JSON.stringify(body)
       })
       const text = await res.body.text()
-      const answeredEra = decodeEra(res.headers['store-era'])
-      noteEra(answeredEra)
+      const responseEra = decodeEra(res.headers['store-era'])
+      recordEra(responseEra)
       const isRefused = res.statusCode === 503 || res.statusCode === 429
-      reach.recordCall(!isRefused, name, `status ${res.statusCode}`)
+      connectivity.recordCall(!isRefused, name, `status ${res.statusCode}`)
       if (isRefused) return Err({ kind: 'unavailable', message: `The store answered ${res.statusCode}.` })
-      if (answeredEra < era) return Err({ kind: 'unknown', message: `${name}: answered in an era that has ended` })
-      return Ok({ status: res.statusCode, body: parseJson(text), era: answeredEra })
+      if (responseEra < era) return Err({ kind: 'unknown', message: `${name}: answered in an era that has ended` })
+      return Ok({ status: res.statusCode, body: parseJson(text), era: responseEra })
     } catch (err) {
-      // Ended from here: that says nothing of the store.
+      // Aborted by this process: that says nothing about the store.
       if (signal?.aborted) return Err({ kind: 'given-up', message: `${name}: not wanted any more` })
       const reason = abort.signal.aborted ? 'no answer in time' : messageOf(err)
-      reach.recordCall(false, name, reason)
+      connectivity.recordCall(false, name, reason)
       return Err({ kind: 'unknown', message: `${name}: ${reason}` })
     } finally {
       cancel()
-      signal?.removeEventListener('abort', end)
+      signal?.removeEventListener('abort', abortCall)
     }
   }
-  const acrossEras: StoreError = { kind: 'unknown', message: 'The store went back to an older copy meanwhile.' }
-  const leaseGone: StoreError = { kind: 'lease-lost', message: 'The lease was granted before the store went back to an older copy.' }
-  /** Its number may be another's by now. */
-  const isLeaseGone = (leaseId: string | undefined): boolean => leaseId !== undefined && eraOfLease(leaseId) < era
-  const invalid = (answer: Pick<Answer, 'status'>): StoreError => ({ kind: 'invalid', message: `The store answered ${answer.status}.` })
+  const eraChangedError: StoreError = { kind: 'unknown', message: 'The store went back to an older copy meanwhile.' }
+  const leaseLostError: StoreError = { kind: 'lease-lost', message: 'The lease was granted before the store went back to an older copy.' }
+  /** The store may have granted the number of such a lease to another process since. */
+  const isLeaseOfEarlierEra = (leaseId: string | undefined): boolean => leaseId !== undefined && eraOfLease(leaseId) < era
+  const invalidError = (response: Pick<StoreResponse, 'status'>): StoreError => ({ kind: 'invalid', message: `The store answered ${response.status}.` })
 
   const get = async (key: string): Promise<Result<KeyValue | undefined, StoreError>> => {
     const res = await call('GET', `/-/kv-key?key=${encodeURIComponent(key)}`)
     if (res.err) return res
     if (res.val.status === 404) return Ok(undefined)
-    return res.val.status === 200 ? Ok(toKeyValue(res.val.body as WireItem, res.val.era)) : Err(invalid(res.val))
+    return res.val.status === 200 ? Ok(toKeyValue(res.val.body as WireItem, res.val.era)) : Err(invalidError(res.val))
   }
   const range = async (prefix: string): Promise<Result<RangeResult, StoreError>> => {
     const entries: KeyValue[] = []
@@ -178,12 +179,12 @@
     for (;;) {
       const res = await call('GET', `/-/kv-range?prefix=${encodeURIComponent(prefix)}${after === '' ? '' : `&after=${encodeURIComponent(after)}`}`)
       if (res.err) return res
-      if (res.val.status !== 200) return Err(invalid(res.val))
+      if (res.val.status !== 200) return Err(invalidError(res.val))
       firstEra ??= res.val.era
-      if (res.val.era !== firstEra) return Err(acrossEras)
+      if (res.val.era !== firstEra) return Err(eraChangedError)
       const page = res.val.body as { items: WireItem[], 'has-more'?: boolean, at: number }
       entries.push(...page.items.map(item => toKeyValue(item, res.val.era)))
-      // Pages are not a snapshot: a watch from the first page's revision on repeats what later pages had, and loses nothing.
+      // Pages are not a snapshot: a watch from the first page's revision repeats changes that later pages contain, and misses none.
       revision = Math.min(revision, toRevision(res.val.era, page.at))
       if (page['has-more'] !== true || page.items.length === 0) return Ok({ entries, revision })
       after = page.items.at(-1)!.key
@@ -193,9 +194,9 @@
     const { compares, writes } = transaction
     const preconditions = compares.map(toPrecondition)
     if (preconditions.includes(undefined)) return Err({ kind: 'invalid', message: 'The store compares the revision of the last change only.' })
-    // Such a condition may hold by chance, for what another has written since under the same revision.
+    // A condition of an earlier era may hold by chance, when another process has since written the key under the same revision.
     if (compares.some(compare => (eraOfCompare(compare) ?? era) < era)) return Ok({ succeeded: false, revision: 0 })
-    if (writes.some(op => op.kind === 'put' && isLeaseGone(op.leaseId))) return Err(leaseGone)
+    if (writes.some(op => op.kind === 'put' && isLeaseOfEarlierEra(op.leaseId))) return Err(leaseLostError)
     const res = await call('POST', '/-/kv-txn', {
       body: {
         precondition: preconditions,
@@ -205,46 +206,46 @@
     })
     if (res.err) return res
     const { status, body } = res.val
-    if (erasOf(transaction).some(each => each !== res.val.era)) return Err(acrossEras)
+    if (erasOf(transaction).some(each => each !== res.val.era)) return Err(eraChangedError)
     if (status === 200) return Ok({ succeeded: true, revision: toRevision(res.val.era, (body as { revision: number }).revision) })
     if (status === 412) return Ok({ succeeded: false, revision: 0 })
-    return Err(status === 404 ? { kind: 'lease-lost', message: 'The lease does not exist any more.' } : invalid(res.val))
+    return Err(status === 404 ? { kind: 'lease-lost', message: 'The lease does not exist any more.' } : invalidError(res.val))
   }
   const grantLease = async (ttlSeconds: number): Promise<Result<string, StoreError>> => {
     const res = await call('POST', '/-/kv-lease', { body: { 'ttl-ms': Math.round(ttlSeconds * 1000) } })
     if (res.err) return res
-    return res.val.status === 200 ? Ok(toLeaseId(res.val.era, (res.val.body as { lease: number }).lease)) : Err(invalid(res.val))
+    return res.val.status === 200 ? Ok(toLeaseId(res.val.era, (res.val.body as { lease: number }).lease)) : Err(invalidError(res.val))
   }
   const renewLease = async (leaseId: string): Promise<Result<number, StoreError>> => {
-    if (isLeaseGone(leaseId)) return Err(leaseGone)
+    if (isLeaseOfEarlierEra(leaseId)) return Err(leaseLostError)
     const res = await call('POST', `/-/kv-keep/${toStoredLeaseId(leaseId)}`)
     if (res.err) return res
     if (res.val.status === 404) return Err({ kind: 'lease-lost', message: `Lease ${leaseId} has ended.` })
-    if (res.val.era !== eraOfLease(leaseId)) return Err(leaseGone)
-    return res.val.status === 200 ? Ok((res.val.body as { 'ttl-ms': number })['ttl-ms'] / 1000) : Err(invalid(res.val))
+    if (res.val.era !== eraOfLease(leaseId)) return Err(leaseLostError)
+    return res.val.status === 200 ? Ok((res.val.body as { 'ttl-ms': number })['ttl-ms'] / 1000) : Err(invalidError(res.val))
   }
   const revokeLease = async (leaseId: string): Promise<Result<void, StoreError>> => {
-    if (isLeaseGone(leaseId)) return Ok(undefined)
+    if (isLeaseOfEarlierEra(leaseId)) return Ok(undefined)
     const res = await call('DELETE', `/-/kv-lease-end/${toStoredLeaseId(leaseId)}`)
     return res.err ? res : Ok(undefined)
   }
 
-  /** Reads all prefixes of a feed in one; returns the revision from which to watch, or undefined where the read failed. */
-  const readAll = async (feed: PrefixWatch): Promise<number | undefined> => {
-    const read = await range(feed.prefix)
+  /** Reads the prefixes of all subscribers of `prefixWatch` at once. Returns the revision to watch from, or undefined when the read failed. */
+  const readAll = async (prefixWatch: PrefixWatch): Promise<number | undefined> => {
+    const read = await range(prefixWatch.prefix)
     if (read.err) return undefined
     const { entries, revision } = read.val
     subscribers
-      .filter(({ prefix }) => prefix.startsWith(feed.prefix))
+      .filter(({ prefix }) => prefix.startsWith(prefixWatch.prefix))
       .forEach(({ prefix, handlers }) => handlers.onSnapshot({ revision, entries: entries.filter(entry => entry.key.startsWith(prefix)) }))
     return revision
   }
-  const deliver = (items: readonly WireItem[], answeredEra: number): void => items.forEach(item =>
-    subscribers.filter(({ prefix }) => item.key.startsWith(prefix)).forEach(({ handlers }) => handlers.onEvent(toEvent(item, answeredEra))))
-  const watch = async (feed: PrefixWatch, { after, waitMs, timeoutMs, signal }: WatchRequest): Promise<WatchOutcome> => {
-    // The new history may have passed that revision: its changes below would never be told.
+  const deliver = (items: readonly WireItem[], responseEra: number): void => items.forEach(item =>
+    subscribers.filter(({ prefix }) => item.key.startsWith(prefix)).forEach(({ handlers }) => handlers.onEvent(toEvent(item, responseEra))))
+  const watch = async (prefixWatch: PrefixWatch, { after, waitMs, timeoutMs, signal }: WatchRequest): Promise<WatchOutcome> => {
+    // The new history may have passed that revision: a watch from it would never report the changes before it.
     if (eraOfRevision(after) < era) return { kind: 'history-gone' }
-    const res = await call('GET', `/-/kv-watch?prefix=${encodeURIComponent(feed.prefix)}&after=${toStoredRevision(after)}&wait-ms=${waitMs}`, { timeoutMs, signal })
+    const res = await call('GET', `/-/kv-watch?prefix=${encodeURIComponent(prefixWatch.prefix)}&after=${toStoredRevision(after)}&wait-ms=${waitMs}`, { timeoutMs, signal })
     if (res.err) return res.val.kind === 'given-up' ? { kind: 'cut' } : { kind: 'failed', err: res.val }
     if (res.val.status !== 200 || res.val.era !== eraOfRevision(after)) return { kind: 'history-gone' }
     const { events, at } = res.val.body as { events: WireItem[], at: number }
@@ -261,11 +262,11 @@
     revokeLease,
     watch: (prefix, handlers) => { subscribers.push({ prefix, handlers }) },
     era: () => era,
-    lastContactMs: reach.lastContactMs,
-    reachableSinceMs: reach.reachableSinceMs,
-    start: (signal, feeds) => {
-      runPrefixWatches({ client: { readAll, watch }, connectivity: reach, clock, logger }, feeds, signal)
-      repeat(clock, TELL_CALLS_PERIOD_MS, signal, tellCalls)
+    lastContactMs: connectivity.lastContactMs,
+    reachableSinceMs: connectivity.reachableSinceMs,
+    start: (signal, prefixWatches) => {
+      runPrefixWatches({ client: { readAll, watch }, connectivity, clock, logger }, prefixWatches, signal)
+      repeat(clock, LOG_CALLS_INTERVAL_MS, signal, logCalls)
     },
     close: () => pool.destroy()
   }
--- a/packages/magnoliabay/src/node/platform/requestHeaders.ts
+++ b/packages/magnoliabay/src/node/platform/requestHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers of a request and an answer: what callers may say, and what is the system's to say. */
+/** Decodes and filters request and response headers: which ones callers may set, and which ones the system sets. */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { ResponseMetadata } from '../serving/attempt'
 import type { ResponseHead } from '../serving/exchange'
@@ -11,13 +11,13 @@
 const TEAM = 'x-magnoliabay-tenant'
 const PRIORITY = 'x-magnoliabay-request-priority'
 const NOT_EXECUTED = 'x-magnoliabay-not-executed'
-const KEY_SCHEME = /^Token (\S+)$/
+const API_KEY_PATTERN = /^Token (\S+)$/
 
-/** Concern one connection only. */
+/** Headers that apply to a single connection only. */
 const CONNECTION_HEADERS = ['connection', 'keep-alive', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'expect', 'content-length']
 
-/** The system's to set, or not for a backend server's eyes: never taken over from a caller. */
-const OWN_HEADERS = [
+/** Set by the system only, or not meant for backend servers: never forwarded from a caller. */
+const SYSTEM_HEADERS = [
   'authorization',
   TEAM,
   EXPECTED_INSTANCE,
@@ -31,74 +31,74 @@
   'kv-fetch'
 ]
 
-const NOT_FORWARDED = new Set([...CONNECTION_HEADERS, ...OWN_HEADERS])
+const NOT_FORWARDED = new Set([...CONNECTION_HEADERS, ...SYSTEM_HEADERS])
 const NOT_RETURNED = new Set(CONNECTION_HEADERS.filter(name => name !== 'content-length'))
 
-function numberOf (text: string | undefined): number | undefined {
+function parseNonNegativeInteger (text: string | undefined): number | undefined {
   if (text === undefined || !/^\d+$/.test(text.trim())) return undefined
   return Number(text)
 }
 
-function textOf (value: string | string[] | undefined): string | undefined {
+function firstValueOf (value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value
 }
 
-function tokensOf (text: string | undefined): CallerRequest['tokens'] {
-  const [prompt, output] = (text ?? '').split(',').map(part => numberOf(part))
+function parseTokenUsage (text: string | undefined): CallerRequest['tokens'] {
+  const [prompt, output] = (text ?? '').split(',').map(part => parseNonNegativeInteger(part))
   return prompt === undefined || output === undefined ? undefined : { prompt, output }
 }
 
-/** What the caller asks for. */
+/** Decodes what the caller requests from its headers. */
 export function decodeCallerRequest (headers: IncomingHttpHeaders): CallerRequest {
-  const [model, adapter] = (textOf(headers['x-magnoliabay-model']) ?? '').split('/')
-  const parts = textOf(headers['x-magnoliabay-prompt-prefix'])
+  const [model, adapter] = (firstValueOf(headers['x-magnoliabay-model']) ?? '').split('/')
+  const parts = firstValueOf(headers['x-magnoliabay-prompt-prefix'])
   return {
-    attemptId: textOf(headers[ATTEMPT_ID]) ?? '',
-    deadlineMs: numberOf(textOf(headers[DEADLINE_MS])),
-    key: KEY_SCHEME.exec(headers.authorization ?? '')?.[1],
+    attemptId: firstValueOf(headers[ATTEMPT_ID]) ?? '',
+    deadlineMs: parseNonNegativeInteger(firstValueOf(headers[DEADLINE_MS])),
+    key: API_KEY_PATTERN.exec(headers.authorization ?? '')?.[1],
     model: model === '' ? undefined : model,
     adapter,
-    tokens: tokensOf(textOf(headers['x-magnoliabay-token-usage'])),
+    tokens: parseTokenUsage(firstValueOf(headers['x-magnoliabay-token-usage'])),
     promptParts: parts === undefined ? [] : parts.split(',').map(part => part.split(':')[0]!.trim())
   }
 }
 
-/** Raw headers, name and value in turn, as the backend server gets them. */
-export function toBackendHeaders (rawHeaders: readonly string[], own: ForwardedMetadata): string[] {
-  const pairs = pairsOf(rawHeaders)
-  const nominated = new Set(pairs.filter(([name]) => name.toLowerCase() === 'connection').flatMap(([, value]) => value.toLowerCase().split(',').map(part => part.trim())))
+/** Returns the raw headers for the backend server, alternating name and value. */
+export function toBackendHeaders (rawHeaders: readonly string[], metadata: ForwardedMetadata): string[] {
+  const pairs = toPairs(rawHeaders)
+  const namedInConnection = new Set(pairs.filter(([name]) => name.toLowerCase() === 'connection').flatMap(([, value]) => value.toLowerCase().split(',').map(part => part.trim())))
   const kept = pairs
     .filter(([name]) => !NOT_FORWARDED.has(name.toLowerCase()))
-    .filter(([name]) => !nominated.has(name.toLowerCase()) || isRequestMeaning(name))
-    .filter(([name]) => own.lastEventId === undefined || name.toLowerCase() !== 'last-event-id')
+    .filter(([name]) => !namedInConnection.has(name.toLowerCase()) || identifiesRequest(name))
+    .filter(([name]) => metadata.lastEventId === undefined || name.toLowerCase() !== 'last-event-id')
   const added: Array<[string, string | undefined]> = [
-    ['X-Magnoliabay-Deadline-Ms', String(Math.max(0, Math.floor(own.deadlineMs)))],
-    ['X-Magnoliabay-Expected-Instance', own.serverId],
-    ['X-Magnoliabay-Tenant', own.team],
-    ['X-Magnoliabay-Request-Priority', own.priority === undefined ? undefined : String(own.priority)],
-    ['Last-Event-Id', own.lastEventId]
+    ['X-Magnoliabay-Deadline-Ms', String(Math.max(0, Math.floor(metadata.deadlineMs)))],
+    ['X-Magnoliabay-Expected-Instance', metadata.serverId],
+    ['X-Magnoliabay-Tenant', metadata.team],
+    ['X-Magnoliabay-Request-Priority', metadata.priority === undefined ? undefined : String(metadata.priority)],
+    ['Last-Event-Id', metadata.lastEventId]
   ]
   return [...kept.flat(), ...added.filter((pair): pair is [string, string] => pair[1] !== undefined).flat()]
 }
 
-/** A caller that nominates what identifies its request for one connection only does not get it dropped. */
-function isRequestMeaning (name: string): boolean {
+/** Headers that identify the request are forwarded even if the caller lists them in `Connection`. */
+function identifiesRequest (name: string): boolean {
   return name.toLowerCase().startsWith('x-magnoliabay-') || name.toLowerCase() === 'host'
 }
 
-function pairsOf (rawHeaders: readonly string[]): Array<[string, string]> {
+function toPairs (rawHeaders: readonly string[]): Array<[string, string]> {
   return rawHeaders.filter((_, index) => index % 2 === 0).map((name, index) => [name, rawHeaders[2 * index + 1]!])
 }
 
-/** Headers of a backend server's answer, as the caller gets them. */
+/** Returns the headers of a backend server's response as sent to the caller. */
 export function toCallerHeaders (rawHeaders: readonly string[]): string[] {
-  return pairsOf(rawHeaders).filter(([name]) => !NOT_RETURNED.has(name.toLowerCase())).flat()
+  return toPairs(rawHeaders).filter(([name]) => !NOT_RETURNED.has(name.toLowerCase())).flat()
 }
 
-/** What an answer's head says beyond its status. */
+/** Decodes the metadata in the head of a response. */
 export function decodeResponseHead ({ status, headers }: ResponseHead): ResponseMetadata {
   return {
-    attemptId: textOf(headers[ATTEMPT_ID]),
+    attemptId: firstValueOf(headers[ATTEMPT_ID]),
     isNotRun: headers[NOT_EXECUTED] !== undefined || (status === 421 && headers['x-magnoliabay-server-signature'] === undefined),
     isSigned: headers['x-magnoliabay-server-signature'] !== undefined
   }
--- a/packages/magnoliabay/src/node/platform/serverEntry.ts
+++ b/packages/magnoliabay/src/node/platform/serverEntry.ts
@@ -1,9 +1,9 @@
-/** The entries that backend servers write about themselves, decoded. */
+/** Decodes the entries that backend servers write about themselves. */
 import * as v from 'valibot'
 import type { BackendServer } from '../serving/types'
 import { parseJson } from '../utils'
 
-/** Keys of the entries: the prefix and the server's id. */
+/** Prefix of the keys of entries; the server's id follows. */
 export const SERVERS_PREFIX = 'servers/'
 
 const wireEntry = v.object({
@@ -26,7 +26,7 @@
   })))
 })
 
-/** Decodes an entry; one that another writer spoilt names no server, and gives undefined. */
+/** Decodes an entry; returns undefined when it is invalid, such as one that another writer has overwritten. */
 export function decodeServer (key: string, text: string): BackendServer | undefined {
   const checked = v.safeParse(wireEntry, parseJson(text))
   if (!checked.success) return undefined
--- a/packages/magnoliabay/src/node/platform/settings.ts
+++ b/packages/magnoliabay/src/node/platform/settings.ts
@@ -1,11 +1,11 @@
-/** The settings file that the platform lays down for a process: YAML, checked, unknown fields ignored. */
+/** Reads the YAML settings file that the platform provides for a process. It is validated; unknown fields are ignored. */
 import * as v from 'valibot'
 import { parse } from 'yaml'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { messageOf } from '../utils'
 
-/** Environment variable that holds the path of the settings file. */
+/** Environment variable that contains the path of the settings file. */
 export const SETTINGS_PATH_VARIABLE = 'MAGNOLIABAY_CONFIG'
 
 const wireSettings = v.object({
@@ -47,27 +47,27 @@
 
 export interface PlatformSettings {
   instance: { id: string, failureDomain: string, region: string }
-  /** Processor time a second that the process may use, seconds. */
+  /** Processor time that the process may use in each second, seconds. */
   processorShare: number
   listen: { entry: string, readiness: string, peers: string, resolution: string, metrics: string }
-  /** Peer addresses of at most three instances; they may be stale. */
+  /** Peer addresses of at most three instances; they may be outdated. */
   seeds: readonly string[]
-  /** The whole system starts for the first time. */
+  /** Whether the whole system starts for the first time. */
   isFirstStart: boolean
-  /** Milliseconds between being asked to stop and being killed. */
+  /** Time from the request to stop until the process is killed, milliseconds. */
   gracePeriodMs: number
-  /** Two instances that give orders must be this far apart, milliseconds. */
+  /** Minimum time between the orders of two successive leaders, milliseconds. */
   orderLeaseMs: number
   retryBudget: { ratio: number, slack: number }
-  /** Rates and bursts of teams are counted over this window, milliseconds. */
+  /** Window over which rates and bursts of teams are counted, milliseconds. */
   allowanceWindowMs: number
-  /** What a team may get beyond its limit, since instances count apart: part of the limit, and units besides. */
+  /** How far a team may exceed its limit, since instances count separately: a fraction of the limit, plus a number of units. */
   allowanceTolerance: { ratio: number, slack: number }
-  /** What a cold server may get in a second: part of the rate that it bears, and requests besides. */
+  /** How many requests a cold server may get in a second: a fraction of the rate that it can handle, plus a number of requests. */
   coldRateTolerance: { ratio: number, slack: number }
-  /** Loads from the weight store are counted in this window, milliseconds. */
+  /** Window over which loads from the weight store are counted, milliseconds. */
   storeLoadWindowMs: number
-  /** Longest time that callers keep a list of addresses, milliseconds. */
+  /** Longest time that callers may cache a list of addresses, milliseconds. */
   maxResolutionTtlMs: number
   store: { address: string, minLeaseMs: number }
 }
@@ -77,7 +77,7 @@
   message: string
 }
 
-/** Port, counted from the first internal one, on which metrics are served. Named in the deploy file as well. */
+/** Offset from the first internal port of the port on which metrics are served. The deploy file names the port as well. */
 const METRICS_PORT_OFFSET = 0
 
 /** Reads the text of a settings file. */
--- a/packages/magnoliabay/src/node/platform/undiciPool.d.ts
+++ b/packages/magnoliabay/src/node/platform/undiciPool.d.ts
@@ -1,4 +1,4 @@
-/** The library types only its whole. */
+/** `undici` provides types only for its main module. */
 declare module 'undici/lib/dispatcher/pool.js' {
   const Pool: unknown
   export default Pool
