--- a/packages/magnoliabay/src/node/commands/serve.ts
+++ b/packages/magnoliabay/src/node/commands/serve.ts
@@ -35,7 +35,7 @@
     }
     const clock = createSystemClock()
     const logger = createLogger({ level: settings.val.log.level })
-    const certificates = createCertificates({ use: 'store', files: settings.val.tls.store ?? {}, periodMs: settings.val.tls.reloadSeconds * 1000, clock, logger })
+    const certificates = createCertificates({ use: 'store', files: settings.val.tls.store ?? {}, intervalMs: settings.val.tls.reloadSeconds * 1000, clock, logger })
     const stop = new AbortController()
     await certificates.load()
     certificates.start(stop.signal)
--- a/packages/magnoliabay/src/node/tls/certificates.ts
+++ b/packages/magnoliabay/src/node/tls/certificates.ts
@@ -1,6 +1,6 @@
 /**
- * Certificates from files, read anew while the process runs: a certificate is renewed by writing its files,
- * and no connection is cut for it.
+ * Certificates from files, which are reloaded while the process runs: a certificate is renewed by overwriting its
+ * files, without closing any connection.
  */
 import { readFile, stat } from 'node:fs/promises'
 import { createSecureContext } from 'node:tls'
@@ -11,67 +11,67 @@
 import type { Disposer } from '../members/peers'
 import { messageOf } from '../utils'
 
-/** Files in PEM form. */
+/** Paths of PEM files. */
 export interface CertificateFiles {
   cert?: string
   key?: string
-  /** Authorities that the other side's certificate must come from. */
+  /** Certificate authorities that must have signed the other side's certificate. */
   ca?: string
 }
 
-/** Texts in PEM form. */
-export type CertificateTexts = CertificateFiles
+/** Contents of the files, in PEM format. */
+export type CertificateContents = CertificateFiles
 
 export interface Certificates {
   /** Empty before the first `load`. */
-  current (): CertificateTexts
-  onChanged (listener: (texts: CertificateTexts) => void): Disposer
-  /** Reads the files for the first time. Rejects when they can't be used: an instance must not start without. */
+  current (): CertificateContents
+  onChanged (listener: (contents: CertificateContents) => void): Disposer
+  /** Reads the files for the first time. Rejects when they can't be used: an instance must not start without them. */
   load (): Promise<void>
-  /** Looks for changed files until `signal` aborts. */
+  /** Checks for changed files at an interval until `signal` aborts. */
   start (signal: AbortSignal): void
 }
 
 export interface CertificatesOptions {
-  /** What they are for, as shown in logs. */
+  /** What the certificates are for, as shown in logs. */
   use: string
   files: CertificateFiles
-  /** Between two looks at the files, milliseconds. @default 30000 */
-  periodMs?: number
+  /** How often the files are checked, milliseconds. @default 30000 */
+  intervalMs?: number
   clock: Clock
   logger: Logger
 }
 
-const PERIOD_MS = 30_000
+const DEFAULT_INTERVAL_MS = 30_000
 type FileName = keyof CertificateFiles
 
 export function createCertificates (options: CertificatesOptions): Certificates {
   const { files, clock, logger, use } = options
-  const changed = createListeners<[CertificateTexts]>()
+  const changeListeners = createListeners<[CertificateContents]>()
   const paths = Object.entries(files).flatMap(([name, path]) => path === undefined ? [] : [{ name: name as FileName, path }])
-  let texts: CertificateTexts = {}
-  let stamp = ''
+  let contents: CertificateContents = {}
+  let fingerprint = ''
 
-  const stampNow = async (): Promise<string> => {
+  const readFingerprint = async (): Promise<string> => {
     const stats = await Promise.all(paths.map(({ path }) => stat(path)))
     return stats.map(({ mtimeMs, size, ino }) => `${mtimeMs} ${size} ${ino}`).join(';')
   }
   const load = async (): Promise<void> => {
-    const nextStamp = await stampNow()
-    if (nextStamp === stamp) return
+    const nextFingerprint = await readFingerprint()
+    if (nextFingerprint === fingerprint) return
     const read = await Promise.all(paths.map(async ({ name, path }) => [name, await readFile(path, 'utf8')] as const))
-    const next = Object.fromEntries(read) as CertificateTexts
+    const next = Object.fromEntries(read) as CertificateContents
     createSecureContext(next)
-    texts = next
-    stamp = nextStamp
+    contents = next
+    fingerprint = nextFingerprint
     logger.info('certificate-in-use', { use, files: paths.map(({ path }) => path) })
-    changed.emit(texts)
+    changeListeners.emit(contents)
   }
   /**
-   * Certificate and key are two files, and are not written at one moment: read in between they don't fit.
-   * The old pair stays in use and the next look finds both.
+   * Reloads changed files. Certificate and key are two files that are not written at the same moment: read in between,
+   * they don't match. The old pair then stays in use, and the next check finds both files.
    */
-  const look = async (): Promise<void> => {
+  const reload = async (): Promise<void> => {
     try {
       await load()
     } catch (err) {
@@ -79,9 +79,9 @@
     }
   }
   return {
-    current: () => texts,
-    onChanged: changed.add,
+    current: () => contents,
+    onChanged: changeListeners.add,
     load,
-    start: signal => { repeat(clock, options.periodMs ?? PERIOD_MS, signal, look) }
+    start: signal => { repeat(clock, options.intervalMs ?? DEFAULT_INTERVAL_MS, signal, reload) }
   }
 }
--- a/packages/magnoliabay/src/node/tls/index.ts
+++ b/packages/magnoliabay/src/node/tls/index.ts
@@ -1,4 +1,4 @@
-/** TLS by settings: callers, operators, peers and the store each have files of their own. */
+/** TLS as configured in the settings, with separate certificate files for callers, operators, peers and the store. */
 import type { Clock } from '../clock'
 import type { ResolvedSettings } from '../config'
 import type { Logger } from '../logger'
@@ -28,11 +28,11 @@
 
 export function createInstanceTls ({ settings, clock, logger }: InstanceTlsOptions): InstanceTls {
   const { callers, operators, peers, reloadSeconds } = settings.tls
-  const read = (use: string, files: CertificateFiles | undefined): Certificates | undefined =>
-    files === undefined ? undefined : createCertificates({ use, files, periodMs: reloadSeconds * 1000, clock, logger })
-  const forCallers = read('callers', callers)
-  const forOperators = read('operators', operators)
-  const forPeers = read('peers', peers)
+  const createFor = (use: string, files: CertificateFiles | undefined): Certificates | undefined =>
+    files === undefined ? undefined : createCertificates({ use, files, intervalMs: reloadSeconds * 1000, clock, logger })
+  const forCallers = createFor('callers', callers)
+  const forOperators = createFor('operators', operators)
+  const forPeers = createFor('peers', peers)
   const all = [forCallers, forOperators, forPeers].filter(certificates => certificates !== undefined)
   return {
     callerCertificates: forCallers,
