--- a/packages/magnoliabay/src/node/clock/index.ts
+++ b/packages/magnoliabay/src/node/clock/index.ts
@@ -1,12 +1,12 @@
 /**
- * Time as an interface, so that every decision can be tested under a clock that the test moves.
+ * Interface for time and timers, so that tests can run all code under a clock that they advance themselves.
  */
 
 /** Cancels a pending callback. Calling it twice is harmless. */
 export type CancelTimer = () => void
 
 export interface Clock {
-  /** Wall-clock time in milliseconds since the Unix epoch. May step; never use it to measure a span. */
+  /** Wall-clock time in milliseconds since the Unix epoch. May be stepped; never use it to measure a duration. */
   now (): number
   /** Monotonic time in milliseconds from an arbitrary origin. Never steps back. */
   monotonic (): number
@@ -14,7 +14,7 @@
   schedule (delayMs: number, callback: () => void): CancelTimer
 }
 
-/** The clock of the running process; `onTimer` is called with each timer that falls due. */
+/** Creates the clock of the running process; `onTimer` is called whenever a timer fires. */
 export function createSystemClock (onTimer: () => void = () => {}): Clock {
   return {
     now: () => Date.now(),
@@ -45,31 +45,32 @@
   })
 }
 
-/** Timers of the runtime count whole milliseconds, and may fire by so much too early. */
-const TIMER_EARLY_MS = 1.5
+/** Timers of the runtime count whole milliseconds, and may fire early by up to this much. */
+const MAX_TIMER_EARLY_MS = 1.5
 
 /**
- * Time until the next whole number of periods since the clock's origin, milliseconds. What a process does at the same
- * pace then falls due at the same moments, and wakes it once: with a phase for each, hundreds of processes that have
- * nothing to do wake for little else. A timer that fired a little early has done its period: it would else fire again
- * for the rest of the millisecond, and everything that is repeated would be done twice.
+ * Returns the time until the next whole number of periods since the clock's origin, milliseconds. All tasks of one
+ * period in a process then run at the same moments and wake the process once; if each had its own phase, most wake-ups
+ * of hundreds of idle processes would be due to such tasks. A timer that fired slightly early counts as the one for its
+ * period: it would otherwise fire again for the rest of the millisecond, and every repeated task would run twice.
  */
 export function delayToNextPeriod (clock: Clock, periodMs: number): number {
-  const leftMs = periodMs - clock.monotonic() % periodMs
-  return leftMs > TIMER_EARLY_MS ? leftMs : leftMs + periodMs
+  const remainingMs = periodMs - clock.monotonic() % periodMs
+  return remainingMs > MAX_TIMER_EARLY_MS ? remainingMs : remainingMs + periodMs
 }
 
 /**
- * The same for all processes together, as far as their times of day agree: time until the next whole number of periods
- * of the day, and `offsetMs` after it. Messages that all send then arrive together and wake whoever hears them once; and
- * what is added up on the way to one of them can be sent in the order in which it is needed.
+ * Like {@link delayToNextPeriod}, but aligned across processes, as far as their wall clocks agree: returns the time
+ * until `offsetMs` after a whole number of periods since the Unix epoch. Messages that all processes send then arrive
+ * together and wake their receiver once. With different offsets, processes that aggregate messages on the way send after
+ * those whose messages they aggregate.
  */
 export function delayToNextWallClockPeriod (clock: Clock, periodMs: number, offsetMs = 0): number {
-  const leftMs = periodMs - (clock.now() - offsetMs) % periodMs
-  return leftMs > TIMER_EARLY_MS ? leftMs : leftMs + periodMs
+  const remainingMs = periodMs - (clock.now() - offsetMs) % periodMs
+  return remainingMs > MAX_TIMER_EARLY_MS ? remainingMs : remainingMs + periodMs
 }
 
-/** Runs `task` once in each `periodMs` milliseconds, never two at once, until `signal` aborts. */
+/** Runs `task` once every `periodMs` milliseconds, never twice at the same time, until `signal` aborts. */
 export async function repeat (clock: Clock, periodMs: number, signal: AbortSignal, task: () => unknown): Promise<void> {
   while (!signal.aborted) {
     await task()
@@ -77,7 +78,7 @@
   }
 }
 
-/** Marks a `withDeadline` that ran out. */
+/** The result of a `withTimeout` whose time ran out. */
 export const TIMED_OUT = Symbol('timed out')
 
 /** Resolves to what `promise` resolves to, or to `TIMED_OUT` after `delayMs` milliseconds. */
--- a/packages/magnoliabay/src/node/clock/ticker.ts
+++ b/packages/magnoliabay/src/node/clock/ticker.ts
@@ -1,7 +1,7 @@
 /**
- * One timer for what several parts of a process do at the same pace: a timer of each of a process's links would wake it
- * once for each of them, hundreds of times a second over a fleet that has nothing to do. Tickers of all processes tick
- * together, so that what they send to each other arrives together as well.
+ * One timer shared by the parts of a process that act at the same interval. With one timer for each link, every link
+ * would wake the process separately, which makes hundreds of wake-ups a second over an idle fleet. The tickers of all
+ * processes fire at the same moments, so that the messages that they send to each other arrive together as well.
  */
 import { delayToNextWallClockPeriod } from '.'
 import type { CancelTimer, Clock } from '.'
@@ -11,7 +11,7 @@
   add (listener: () => void): () => void
 }
 
-/** Runs only while somebody listens. */
+/** The timer runs only while there are listeners. */
 export function createTicker (clock: Clock, periodMs: number): Ticker {
   const listeners = new Set<() => void>()
   let cancel: CancelTimer | undefined
@@ -22,11 +22,11 @@
   }
   return {
     add: listener => {
-      const own = (): void => listener()
-      listeners.add(own)
+      const registered = (): void => listener()
+      listeners.add(registered)
       cancel ??= clock.schedule(delayToNextWallClockPeriod(clock, periodMs), tick)
       return () => {
-        listeners.delete(own)
+        listeners.delete(registered)
         if (listeners.size > 0) return
         cancel?.()
         cancel = undefined
--- a/packages/magnoliabay/src/node/clock/virtual.ts
+++ b/packages/magnoliabay/src/node/clock/virtual.ts
@@ -1,27 +1,27 @@
 /**
- * A clock that moves only when told to, for tests and for benches in virtual time.
- * `@sinonjs/fake-timers` keeps the timers; this file only narrows it to {@link Clock}.
+ * A clock that advances only on request, for tests and for benchmarks in virtual time.
+ * The timers are those of `@sinonjs/fake-timers`; this file adapts them to {@link Clock}.
  */
 import { createClock } from '@sinonjs/fake-timers'
 import type { Clock } from '.'
 
 export interface VirtualClock extends Clock {
-  /** Moves time on by `ms`, running what falls due, and lets promises settle in between. */
+  /** Advances time by `ms`, runs the timers that fall due, and lets promises settle in between. */
   advance (ms: number): Promise<void>
-  /** Runs the next timer that is due, however far away it is. */
+  /** Advances time to the next timer and runs it. */
   next (): Promise<void>
-  /** Lets pending promises settle without moving time. */
+  /** Lets pending promises settle without advancing time. */
   settle (): Promise<void>
   /** Steps the wall clock without moving the monotonic one. */
   stepWallClock (ms: number): void
 }
 
-/** Starts at `startMs` (Unix epoch, milliseconds). */
+/** Creates a clock whose wall clock starts at `startMs` (Unix epoch, milliseconds). */
 export function createVirtualClock (startMs = 1_700_000_000_000): VirtualClock {
   const timers = createClock(startMs)
-  let wallOffsetMs = 0
+  let wallClockOffsetMs = 0
   return {
-    now: () => timers.now + wallOffsetMs,
+    now: () => timers.now + wallClockOffsetMs,
     monotonic: () => timers.now - startMs,
     schedule: (delayMs, callback) => {
       const timer = timers.setTimeout(callback, Math.max(0, delayMs))
@@ -30,6 +30,6 @@
     advance: async ms => { await timers.tickAsync(ms) },
     next: async () => { await timers.nextAsync() },
     settle: async () => { await timers.tickAsync(0) },
-    stepWallClock: ms => { wallOffsetMs += ms }
+    stepWallClock: ms => { wallClockOffsetMs += ms }
   }
 }
