--- a/packages/magnoliabay/src/node/metrics/index.ts
+++ b/packages/magnoliabay/src/node/metrics/index.ts
@@ -1,4 +1,4 @@
-/** Metrics by `prom-client`, one registry for each instance. */
+/** Metrics for `prom-client`, with one registry for each instance. */
 import { Counter, Gauge, Histogram } from 'prom-client'
 import type { Registry } from 'prom-client'
 import { createRegistry } from './registry'
