--- a/packages/magnoliabay/src/node/members/byteQueue.ts
+++ b/packages/magnoliabay/src/node/members/byteQueue.ts
@@ -16,10 +16,10 @@
 
   /** Number of chunks that hold the first `count` bytes. */
   const chunksFor = (count: number): number => {
-    let seen = 0
+    let total = 0
     const last = chunks.findIndex(chunk => {
-      seen += chunk.length
-      return seen >= count
+      total += chunk.length
+      return total >= count
     })
     return last + 1
   }
--- a/packages/magnoliabay/src/node/members/dialer.ts
+++ b/packages/magnoliabay/src/node/members/dialer.ts
@@ -6,10 +6,10 @@
 import type { MemberRecord } from './record'
 import type { PeerTransport } from './transport'
 
-const REDIAL_MS = 500
+const REDIAL_DELAY_MS = 500
 const DIAL_TIMEOUT_MS = 2000
 
-export interface Dialling {
+export interface Dialer {
   /** Dials these from now on, and no others. */
   setTargets (members: readonly MemberRecord[]): void
   /** Dials once; resolves when the connection has ended. */
@@ -18,14 +18,14 @@
   close (): void
 }
 
-export interface DiallingOptions {
+export interface DialerOptions {
   transport: PeerTransport
   clock: Clock
   /** Runs a link until it ends. */
-  run: (socket: Socket) => Promise<void>
+  runLink: (socket: Socket) => Promise<void>
 }
 
-export function createDialling (options: DiallingOptions): Dialling {
+export function createDialer (options: DialerOptions): Dialer {
   const targets = new Map<string, AbortController>()
   const closed = new AbortController()
   let isClosing = false
@@ -36,15 +36,15 @@
     socket.on('timeout', () => { if (socket.connecting) socket.destroy() })
     // Taken off again after each run: a peer that is down for long would otherwise leave a dead socket for every dial.
     // At the end of the process a link that stands is left to say goodbye: that is the proof others wait for.
-    const cut = (): void => { if (!isClosing || socket.connecting) socket.destroy() }
-    signal.addEventListener('abort', cut, { once: true })
-    await options.run(socket)
-    signal.removeEventListener('abort', cut)
+    const onAbort = (): void => { if (!isClosing || socket.connecting) socket.destroy() }
+    signal.addEventListener('abort', onAbort, { once: true })
+    await options.runLink(socket)
+    signal.removeEventListener('abort', onAbort)
   }
-  const keepDialling = async (member: MemberRecord, signal: AbortSignal): Promise<void> => {
+  const dialRepeatedly = async (member: MemberRecord, signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
       await dial(member, signal)
-      await sleep(options.clock, REDIAL_MS, signal)
+      await sleep(options.clock, REDIAL_DELAY_MS, signal)
     }
   }
   const keyOf = (member: MemberRecord): string => `${member.id} ${member.peerAddress} ${member.incarnation}`
@@ -60,7 +60,7 @@
       members.filter(member => !targets.has(keyOf(member))).forEach(member => {
         const controller = new AbortController()
         targets.set(keyOf(member), controller)
-        keepDialling(member, controller.signal)
+        dialRepeatedly(member, controller.signal)
       })
     },
     dialOnce: member => dial(member, closed.signal),
--- a/packages/magnoliabay/src/node/members/frames.ts
+++ b/packages/magnoliabay/src/node/members/frames.ts
@@ -51,7 +51,7 @@
   isFields(value) && Object.entries(MEMBER_FIELDS).every(([name, type]) => typeOf(value[name]) === type)
 
 /** What each type of frame must hold, so that nothing behind {@link decodeFrame} meets a wrong type. Bodies are the handlers' to check. */
-const CHECKS: Readonly<Record<Frame['type'], (fields: Fields) => boolean>> = {
+const FRAME_CHECKS: Readonly<Record<Frame['type'], (fields: Fields) => boolean>> = {
   hello: fields => isMember(fields.member),
   beat: () => true,
   call: fields => Number.isSafeInteger(fields.id) && typeof fields.kind === 'string',
@@ -64,17 +64,17 @@
 export function encodeFrame (frame: Frame): Buffer {
   const payload = encoder.encode(frame)
   if (payload.length > MAX_FRAME_BYTES) throw new FrameError('too-long')
-  const head = Buffer.allocUnsafe(LENGTH_BYTES)
-  head.writeUInt32BE(payload.length)
-  return Buffer.concat([head, payload])
+  const header = Buffer.allocUnsafe(LENGTH_BYTES)
+  header.writeUInt32BE(payload.length)
+  return Buffer.concat([header, payload])
 }
 
 /** Throws a {@link FrameError} on anything but a frame. */
 export function decodeFrame (payload: Buffer): Frame {
   const value = decodePayload(payload)
   if (!isFields(value) || typeof value.type !== 'string') throw new FrameError('not-a-frame')
-  if (!Object.hasOwn(CHECKS, value.type)) throw new FrameError('not-a-frame')
-  if (!CHECKS[value.type as Frame['type']](value)) throw new FrameError('not-a-frame')
+  if (!Object.hasOwn(FRAME_CHECKS, value.type)) throw new FrameError('not-a-frame')
+  if (!FRAME_CHECKS[value.type as Frame['type']](value)) throw new FrameError('not-a-frame')
   return value as Frame
 }
 
@@ -88,19 +88,19 @@
 
 /** Yields the frames of a connection until its end. Throws {@link FrameError} on a bad one. */
 export async function * readFrames (socket: Readable): AsyncGenerator<Frame> {
-  const pending = createByteQueue()
-  let wanted: number | undefined
+  const received = createByteQueue()
+  let payloadLength: number | undefined
   for await (const chunk of socket) {
-    pending.push(chunk as Buffer)
+    received.push(chunk as Buffer)
     for (;;) {
-      if (wanted === undefined) {
-        if (pending.size() < LENGTH_BYTES) break
-        wanted = pending.take(LENGTH_BYTES).readUInt32BE(0)
-        if (wanted > MAX_FRAME_BYTES) throw new FrameError('too-long')
+      if (payloadLength === undefined) {
+        if (received.size() < LENGTH_BYTES) break
+        payloadLength = received.take(LENGTH_BYTES).readUInt32BE(0)
+        if (payloadLength > MAX_FRAME_BYTES) throw new FrameError('too-long')
       }
-      if (pending.size() < wanted) break
-      yield decodeFrame(pending.take(wanted))
-      wanted = undefined
+      if (received.size() < payloadLength) break
+      yield decodeFrame(received.take(payloadLength))
+      payloadLength = undefined
     }
   }
 }
--- a/packages/magnoliabay/src/node/members/gossip.ts
+++ b/packages/magnoliabay/src/node/members/gossip.ts
@@ -24,31 +24,31 @@
 }
 
 /** Far longer than a notice takes to go round; a copy later than that would be handled again, which is harmless. */
-const REMEMBER_MS = 60_000
+const SEEN_RETENTION_MS = 60_000
 
 export function createGossip (clock: Clock): Gossip {
   let current = new Set<string>()
   let previous = new Set<string>()
-  let turnedMs = clock.monotonic()
+  let rotatedAtMs = clock.monotonic()
   let counter = 0
-  const turn = (): void => {
-    if (clock.monotonic() - turnedMs < REMEMBER_MS) return
+  const rotate = (): void => {
+    if (clock.monotonic() - rotatedAtMs < SEEN_RETENTION_MS) return
     previous = current
     current = new Set()
-    turnedMs = clock.monotonic()
+    rotatedAtMs = clock.monotonic()
   }
-  const note = (id: string): boolean => {
-    turn()
+  const recordSeen = (id: string): boolean => {
+    rotate()
     if (current.has(id) || previous.has(id)) return false
     current.add(id)
     return true
   }
   return {
-    isNew: message => note(message.id),
+    isNew: message => recordSeen(message.id),
     wrap: (origin, kind, body) => {
       counter += 1
       const message: GossipMessage = { id: `${origin.incarnation} ${counter}`, origin, kind, body }
-      note(message.id)
+      recordSeen(message.id)
       return message
     }
   }
--- a/packages/magnoliabay/src/node/members/link.ts
+++ b/packages/magnoliabay/src/node/members/link.ts
@@ -15,20 +15,20 @@
 import type { MemberRecord } from './record'
 
 /** How often a side that watches over a link says that it is there, in milliseconds. */
-export const BEAT_PERIOD_MS = 1000
+export const HEARTBEAT_INTERVAL_MS = 1000
 /**
  * A link that brought nothing for this long is cut and dialled anew. A connection that something
  * between the two ends has lost track of stays open and silent for good: calls on it would time out
  * one after another. Three missed beats tell it from a short pause, and a new connection works.
  */
-export const SILENT_LINK_MS = 3500
+export const SILENCE_TIMEOUT_MS = 3500
 /**
  * A link that is not kept is watched over for this long after a notice, milliseconds. One made for a call now and then
  * is not: a member that counts for a team holds one to each of hundreds, and all would beat for nothing.
  */
-const WATCHED_MS = 5000
+const MONITORED_AFTER_NOTICE_MS = 5000
 /** On a link that is not watched over, a peer that left a call unanswered is to answer a beat by then, milliseconds. */
-const PROBE_MS = 1000
+const PROBE_TIMEOUT_MS = 1000
 const DEFAULT_CALL_TIMEOUT_MS = 1000
 /** A peer that reads more slowly than this is behind by so much that the link is cut. */
 const MAX_UNSENT_BYTES = 16 * 1024 * 1024
@@ -48,16 +48,16 @@
   goodbye (): void
 }
 
-export interface LinkRun {
+export interface LinkOptions {
   socket: Socket
   self: MemberRecord
   clock: Clock
-  /** Beats once in {@link BEAT_PERIOD_MS}, for all links of a process. */
+  /** Beats once in {@link HEARTBEAT_INTERVAL_MS}, for all links of a process. */
   ticker: Ticker
   logger: Logger
   dispatch: Dispatch
   /** Whether the link to a member is kept for its own sake, and so watched over all the time. */
-  isKept: (member: MemberRecord) => boolean
+  isPermanent: (member: MemberRecord) => boolean
   /** Called with each frame that comes in: with its kind, or with its type where it has none. */
   onFrame?: (kind: string) => void
   /** The peer has said hello. Answer false to refuse it. */
@@ -66,25 +66,25 @@
 }
 
 /** Runs a link until it ends and tells why. Never rejects. */
-export async function runLink (run: LinkRun): Promise<string> {
-  const { socket, clock, logger } = run
+export async function runLink (linkOptions: LinkOptions): Promise<string> {
+  const { socket, clock, logger } = linkOptions
   const pending = new Map<number, PendingCall>()
   let nextCallId = 1
   let endReason = 'closed by the peer'
-  let lastHeardMs = clock.monotonic()
+  let lastReceivedMs = clock.monotonic()
   let lastSentMs = -Infinity
   let member: MemberRecord | undefined
-  let watchedUntilMs = clock.monotonic() + WATCHED_MS
-  let isWatching = true
+  let monitoredUntilMs = clock.monotonic() + MONITORED_AFTER_NOTICE_MS
+  let isMonitoring = true
 
-  const watchOver = (): void => { watchedUntilMs = clock.monotonic() + WATCHED_MS }
-  const isWatched = (): boolean => clock.monotonic() < watchedUntilMs || member === undefined || run.isKept(member)
+  const extendMonitoring = (): void => { monitoredUntilMs = clock.monotonic() + MONITORED_AFTER_NOTICE_MS }
+  const isMonitored = (): boolean => clock.monotonic() < monitoredUntilMs || member === undefined || linkOptions.isPermanent(member)
   /** Such a link may have fallen silent long ago: the call after this one is to find a new one. */
   const probe = (): void => {
-    if (isWatched()) return
-    const askedMs = clock.monotonic()
+    if (isMonitored()) return
+    const probedMs = clock.monotonic()
     send({ type: 'beat' })
-    clock.schedule(PROBE_MS, () => { if (lastHeardMs < askedMs) close('silent') })
+    clock.schedule(PROBE_TIMEOUT_MS, () => { if (lastReceivedMs < probedMs) close('silent') })
   }
   /**
    * Tells what hindered it. A frame that is too long for the peer is not sent: the peer would cut the
@@ -122,22 +122,22 @@
       resolve(result)
     }
     pending.set(id, { settle })
-    const hindrance = send({ type: 'call', id, kind, body })
-    if (hindrance !== undefined) settle(Err(hindrance))
+    const sendError = send({ type: 'call', id, kind, body })
+    if (sendError !== undefined) settle(Err(sendError))
   })
-  const linkTo = (peer: MemberRecord): Link => ({
+  const createLink = (peer: MemberRecord): Link => ({
     member: peer,
     call,
     notify: (kind, body) => {
-      watchOver()
-      const hindrance = send({ type: 'notice', kind, body })
-      if (hindrance === undefined) return
+      extendMonitoring()
+      const sendError = send({ type: 'notice', kind, body })
+      if (sendError === undefined) return
       // On a link that has ended nothing is amiss: its end has an event of its own.
-      const log = hindrance.kind === 'not-connected' ? logger.debug : logger.warn
-      log('peer-notice-not-sent', { peer: peer.id, kind, reason: hindrance.message })
+      const log = sendError.kind === 'not-connected' ? logger.debug : logger.warn
+      log('peer-notice-not-sent', { peer: peer.id, kind, reason: sendError.message })
     },
     sendEncoded: bytes => {
-      watchOver()
+      extendMonitoring()
       write(bytes)
     },
     close,
@@ -147,16 +147,16 @@
     }
   })
   const answerCall = async (frame: Extract<Frame, { type: 'call' }>, from: MemberRecord): Promise<void> => {
-    const result = await run.dispatch.handleCall(frame.kind, frame.body, from)
-    const hindrance = send({ type: 'reply', id: frame.id, ok: result.ok, body: result.val })
-    if (hindrance?.kind !== 'too-large') return
+    const result = await linkOptions.dispatch.handleCall(frame.kind, frame.body, from)
+    const sendError = send({ type: 'reply', id: frame.id, ok: result.ok, body: result.val })
+    if (sendError?.kind !== 'too-large') return
     const tooLarge: PeerError = { kind: 'handler-failed', message: 'The answer is too large for a frame.' }
     send({ type: 'reply', id: frame.id, ok: false, body: tooLarge })
   }
   /** A handler that fails on what a peer sent must not end the link: each new one would end the same way. */
-  const takeNotice = (frame: Extract<Frame, { type: 'notice' }>, from: MemberRecord): void => {
+  const handleNotice = (frame: Extract<Frame, { type: 'notice' }>, from: MemberRecord): void => {
     try {
-      run.dispatch.handleNotice(frame.kind, frame.body, from)
+      linkOptions.dispatch.handleNotice(frame.kind, frame.body, from)
     } catch (err) {
       logger.warn('peer-notice-failed', { peer: from.id, kind: frame.kind, reason: messageOf(err) })
     }
@@ -164,34 +164,34 @@
   const handlers: { [Type in Frame['type']]: (frame: Extract<Frame, { type: Type }>, from: MemberRecord) => void } = {
     hello: () => {},
     // Whoever beats goes by what it hears; on a link that is kept both sides beat.
-    beat: () => { if (!isWatched()) send({ type: 'beat' }) },
+    beat: () => { if (!isMonitored()) send({ type: 'beat' }) },
     call: (frame, from) => { answerCall(frame, from) },
     reply: frame => pending.get(frame.id)?.settle(frame.ok ? Ok(frame.body) : Err(frame.body as PeerError)),
-    notice: takeNotice,
-    goodbye: (_frame, from) => run.onGoodbye(from)
+    notice: handleNotice,
+    goodbye: (_frame, from) => linkOptions.onGoodbye(from)
   }
 
   socket.setNoDelay(true)
   socket.on('error', () => {})
-  send({ type: 'hello', member: run.self })
-  const cancelBeat = run.ticker.add(() => {
-    const wasWatching = isWatching
-    isWatching = isWatched()
-    if (!isWatching) return
+  send({ type: 'hello', member: linkOptions.self })
+  const cancelHeartbeat = linkOptions.ticker.add(() => {
+    const wasMonitoring = isMonitoring
+    isMonitoring = isMonitored()
+    if (!isMonitoring) return
     // Nothing was to be heard before.
-    if (!wasWatching) lastHeardMs = clock.monotonic()
+    if (!wasMonitoring) lastReceivedMs = clock.monotonic()
     // Whatever was sent lately says as much, and a beat of its own would wake the peer once more.
-    if (clock.monotonic() - lastSentMs >= BEAT_PERIOD_MS / 2) send({ type: 'beat' })
-    if (clock.monotonic() - lastHeardMs > SILENT_LINK_MS) close('silent')
+    if (clock.monotonic() - lastSentMs >= HEARTBEAT_INTERVAL_MS / 2) send({ type: 'beat' })
+    if (clock.monotonic() - lastReceivedMs > SILENCE_TIMEOUT_MS) close('silent')
   })
   try {
     for await (const frame of readFrames(socket)) {
-      lastHeardMs = clock.monotonic()
-      run.onFrame?.('kind' in frame ? frame.kind : frame.type)
+      lastReceivedMs = clock.monotonic()
+      linkOptions.onFrame?.('kind' in frame ? frame.kind : frame.type)
       if (member === undefined) {
         if (frame.type !== 'hello') return 'no hello'
         member = frame.member
-        if (!run.onHello(linkTo(member))) return 'refused'
+        if (!linkOptions.onHello(createLink(member))) return 'refused'
         continue
       }
       const handle = handlers[frame.type] as (frame: Frame, from: MemberRecord) => void
@@ -201,10 +201,10 @@
   } catch (err) {
     return endReason === 'closed by the peer' && err instanceof Error ? err.message : endReason
   } finally {
-    cancelBeat()
+    cancelHeartbeat()
     socket.destroy()
-    const lost: PeerError = { kind: 'link-lost', message: 'The link to the peer ended before the answer.' }
+    const linkLost: PeerError = { kind: 'link-lost', message: 'The link to the peer ended before the answer.' }
     const calls = [...pending.values()]
-    calls.forEach(waiting => waiting.settle(Err(lost)))
+    calls.forEach(pendingCall => pendingCall.settle(Err(linkLost)))
   }
 }
--- a/packages/magnoliabay/src/node/members/membership.ts
+++ b/packages/magnoliabay/src/node/members/membership.ts
@@ -13,10 +13,10 @@
 
 /** Seconds after which the store drops what hangs on a lease that nobody renews. */
 const LEASE_TTL_SECONDS = 10
-const RENEW_PERIOD_MS = 3000
+const RENEW_INTERVAL_MS = 3000
 
 /** How long a member without a record and without a link that would tell counts as there. */
-const LAPSED_GRACE_MS = 15_000
+const LAPSED_RECORD_RETENTION_MS = 15_000
 
 interface LapsedRecord {
   record: MemberRecord
@@ -99,17 +99,17 @@
    * After a long outage of the store all leases have lapsed, and every record vanishes at once until each member
    * has registered anew. Members whose links stand stay, so that nobody cuts the links that everything runs over.
    */
-  const isStillThere = ({ record, sinceMs }: LapsedRecord): boolean => {
-    const evidence = network.linkStateOf(record.id)
-    if (evidence !== 'none') return evidence === 'linked'
-    return clock.monotonic() - sinceMs < LAPSED_GRACE_MS
+  const isPresumedRunning = ({ record, sinceMs }: LapsedRecord): boolean => {
+    const linkState = network.linkStateOf(record.id)
+    if (linkState !== 'none') return linkState === 'linked'
+    return clock.monotonic() - sinceMs < LAPSED_RECORD_RETENTION_MS
   }
-  const apply = (): void => {
-    lapsed.forEach((held, id) => { if (records.has(id) || !isStillThere(held)) lapsed.delete(id) })
+  const updateMembers = (): void => {
+    lapsed.forEach((held, id) => { if (records.has(id) || !isPresumedRunning(held)) lapsed.delete(id) })
     network.setMembers([...records.values(), ...[...lapsed.values()].map(held => held.record)])
     changed.emit()
   }
-  const noteChanged = (id: string): void => {
+  const markChanged = (id: string): void => {
     changedIds.add(id)
     digest = undefined
   }
@@ -117,20 +117,20 @@
     const record = records.get(id)
     if (record === undefined) return
     records.delete(id)
-    noteChanged(id)
+    markChanged(id)
     if (!record.leaving) lapsed.set(id, { record, sinceMs: clock.monotonic() })
   }
-  const addRecord = (entry: Pick<KeyValue, 'key' | 'value'>): void => {
+  const applyEntry = (entry: Pick<KeyValue, 'key' | 'value'>): void => {
     // A damaged record must not cost the rest of a snapshot.
     const record = parseJson(entry.value) as MemberRecord | undefined
     if (record?.id === undefined) return logger.warn('member-record-refused', { key: entry.key })
-    takeRecord(record)
+    updateRecord(record)
   }
-  const takeRecord = (record: MemberRecord): void => {
+  const updateRecord = (record: MemberRecord): void => {
     const known = records.get(record.id)
     if (known !== undefined && identityOf(known) === identityOf(record)) return
     records.set(record.id, record)
-    noteChanged(record.id)
+    markChanged(record.id)
   }
   /** A list that is whole: who is not in it is gone. */
   const dropMissing = (ids: ReadonlySet<string>): void => {
@@ -147,13 +147,13 @@
     },
     replaceAll: list => {
       dropMissing(new Set(list.map(record => record.id)))
-      list.forEach(takeRecord)
-      apply()
+      list.forEach(updateRecord)
+      updateMembers()
     },
     applyChanges: ({ put, gone }) => {
       gone.forEach(dropRecord)
-      put.forEach(takeRecord)
-      apply()
+      put.forEach(updateRecord)
+      updateMembers()
     },
     takeChanges: () => {
       if (changedIds.size === 0) return undefined
@@ -167,17 +167,17 @@
       store.watch(MEMBERS_PREFIX, {
         onSnapshot: snapshot => {
           dropMissing(new Set(snapshot.entries.map(entry => entry.key.slice(MEMBERS_PREFIX.length))))
-          snapshot.entries.forEach(addRecord)
-          apply()
+          snapshot.entries.forEach(applyEntry)
+          updateMembers()
         },
         onEvent: event => {
-          if (event.kind === 'put') addRecord(event)
+          if (event.kind === 'put') applyEntry(event)
           else dropRecord(event.key.slice(MEMBERS_PREFIX.length))
-          apply()
+          updateMembers()
         }
       }, signal)
-      repeat(clock, RENEW_PERIOD_MS, signal, renewOrRegister)
-      repeat(clock, RENEW_PERIOD_MS, signal, () => { if (lapsed.size > 0) apply() })
+      repeat(clock, RENEW_INTERVAL_MS, signal, renewOrRegister)
+      repeat(clock, RENEW_INTERVAL_MS, signal, () => { if (lapsed.size > 0) updateMembers() })
     },
     announceLeaving: async () => {
       self.leaving = true
--- a/packages/magnoliabay/src/node/members/memoryNetwork.ts
+++ b/packages/magnoliabay/src/node/members/memoryNetwork.ts
@@ -39,7 +39,7 @@
   partition (one: string, other: string): void
   heal (one: string, other: string): void
   /** Replaces what decides about messages. */
-  setDeliveryPolicy (fate: DeliveryPolicy): void
+  setDeliveryPolicy (deliveryPolicy: DeliveryPolicy): void
 }
 
 const DEFAULT_DELAY_MS = 1
@@ -55,29 +55,29 @@
 export function createMemoryNetwork (options: MemoryNetworkOptions): MemoryNetwork {
   const { clock } = options
   const nodes = new Map<string, Node>()
-  const cuts = new Set<string>()
+  const partitions = new Set<string>()
   const unregistered = new Set<string>()
-  let fate: DeliveryPolicy = options.deliveryPolicy ?? (() => [DEFAULT_DELAY_MS])
+  let deliveryPolicy: DeliveryPolicy = options.deliveryPolicy ?? (() => [DEFAULT_DELAY_MS])
 
   const pairOf = (one: string, other: string): string => [one, other].sort().join(' ')
-  const isConnected = (from: string, to: string): boolean => from === to || (nodes.has(to) && !cuts.has(pairOf(from, to)))
+  const isConnected = (from: string, to: string): boolean => from === to || (nodes.has(to) && !partitions.has(pairOf(from, to)))
   const records = (): MemberRecord[] => [...nodes.values()].map(node => node.member).filter(member => !unregistered.has(member.id)).sort((left, right) => left.id < right.id ? -1 : 1)
   /** Bodies are copied, as they would be on a wire. */
-  const carry = (message: Message, sender: Node, deliver: (receiver: Node, body: unknown) => void): void => {
+  const transmit = (message: Message, sender: Node, deliver: (receiver: Node, body: unknown) => void): void => {
     if (!isConnected(message.from, message.to)) return
-    fate(message).forEach(delayMs => clock.schedule(delayMs, () => {
+    deliveryPolicy(message).forEach(delayMs => clock.schedule(delayMs, () => {
       const receiver = nodes.get(message.to)
-      if (receiver === undefined || nodes.get(message.from) !== sender || cuts.has(pairOf(message.from, message.to))) return
+      if (receiver === undefined || nodes.get(message.from) !== sender || partitions.has(pairOf(message.from, message.to))) return
       deliver(receiver, structuredClone(message.body))
     }))
   }
-  const callOver = (sender: Node, to: string, kind: string, body: unknown, timeoutMs: number): Promise<Result<unknown, PeerError>> => new Promise(resolve => {
+  const sendCall = (sender: Node, to: string, kind: string, body: unknown, timeoutMs: number): Promise<Result<unknown, PeerError>> => new Promise(resolve => {
     if (!isConnected(sender.member.id, to)) return resolve(Err({ kind: 'not-connected', message: `No link to ${to}.` }))
     const cancel = clock.schedule(timeoutMs, () => resolve(Err({ kind: 'timeout', message: `No answer to ${kind} in time.` })))
-    carry({ from: sender.member.id, to, kind, type: 'call', body }, sender, async (receiver, received) => {
+    transmit({ from: sender.member.id, to, kind, type: 'call', body }, sender, async (receiver, received) => {
       const result = await receiver.dispatch.handleCall(kind, received, sender.member)
       const reply: Message = { from: to, to: sender.member.id, kind, type: 'reply', body: { ok: result.ok, value: result.val } }
-      carry(reply, receiver, (_sender, answer) => {
+      transmit(reply, receiver, (_sender, answer) => {
         cancel()
         const { ok, value } = answer as { ok: boolean, value: unknown }
         resolve(ok ? Ok(value) : Err(value as PeerError))
@@ -87,7 +87,7 @@
   const peersOf = (node: Node): Peers => {
     const self = node.member
     type Answer = Result<never, PeerError>
-    const notify: Peers['notify'] = (to, notice, body) => carry({ from: self.id, to, kind: notice.kind, type: 'notice', body }, node, (receiver, received) =>
+    const notify: Peers['notify'] = (to, notice, body) => transmit({ from: self.id, to, kind: notice.kind, type: 'notice', body }, node, (receiver, received) =>
       receiver.dispatch.handleNotice(notice.kind, received, self))
     return {
       self,
@@ -95,7 +95,7 @@
       isConnected: memberId => isConnected(self.id, memberId),
       call: async (to, call, body, callOptions) => {
         if (to === self.id) return await node.dispatch.handleCall(call.kind, body, self) as Answer
-        return await callOver(node, to, call.kind, body, callOptions?.timeoutMs ?? DEFAULT_CALL_TIMEOUT_MS) as Answer
+        return await sendCall(node, to, call.kind, body, callOptions?.timeoutMs ?? DEFAULT_CALL_TIMEOUT_MS) as Answer
       },
       notify,
       notifyLinked: (memberIds, notice, body) => memberIds.forEach(to => notify(to, notice, body)),
@@ -106,33 +106,33 @@
       onConnected: node.connected.add
     }
   }
-  const announce = (): void => nodes.forEach(node => node.changed.emit())
+  const emitMembersChanged = (): void => nodes.forEach(node => node.changed.emit())
 
   return {
     join: member => {
       const node: Node = { member, dispatch: createDispatch(), changed: createListeners(), connected: createListeners() }
       nodes.set(member.id, node)
-      announce()
+      emitMembersChanged()
       nodes.forEach(other => { if (other !== node) other.connected.emit(member) })
       return peersOf(node)
     },
     kill: memberId => {
       nodes.delete(memberId)
-      announce()
+      emitMembersChanged()
     },
     setRegistered: (memberId, isRegistered) => {
       if (isRegistered) unregistered.delete(memberId)
       else unregistered.add(memberId)
-      announce()
+      emitMembersChanged()
     },
-    partition: (one, other) => { cuts.add(pairOf(one, other)) },
+    partition: (one, other) => { partitions.add(pairOf(one, other)) },
     heal: (one, other) => {
-      cuts.delete(pairOf(one, other))
+      partitions.delete(pairOf(one, other))
       const ends = [nodes.get(one), nodes.get(other)]
       if (ends[0] === undefined || ends[1] === undefined) return
       ends[0].connected.emit(ends[1].member)
       ends[1].connected.emit(ends[0].member)
     },
-    setDeliveryPolicy: next => { fate = next }
+    setDeliveryPolicy: next => { deliveryPolicy = next }
   }
 }
--- a/packages/magnoliabay/src/node/members/network.ts
+++ b/packages/magnoliabay/src/node/members/network.ts
@@ -9,25 +9,25 @@
 import { Err } from '../result'
 import type { Result } from '../result'
 import { listenOn } from '../utils'
-import { createDialling } from './dialer'
+import { createDialer } from './dialer'
 import { createDispatch, createListeners } from './dispatch'
 import { encodeFrame } from './frames'
 import { GOSSIP_KIND, createGossip } from './gossip'
 import type { GossipMessage } from './gossip'
-import { BEAT_PERIOD_MS, runLink } from './link'
+import { HEARTBEAT_INTERVAL_MS, runLink } from './link'
 import type { Link } from './link'
-import { neighboursOf, placeOnRing } from './neighbours'
+import { neighboursOf, orderOnRing } from './neighbours'
 import type { PeerError, Peers } from './peers'
 import type { MemberRecord } from './record'
 import { TCP_TRANSPORT } from './transport'
 import type { PeerTransport } from './transport'
 
 /** A link outside the neighbourhood that has said nothing of ours for this long is closed. */
-const IDLE_LINK_MS = 60_000
+const IDLE_LINK_TIMEOUT_MS = 60_000
 /** A link that another has replaced stays for the calls under way on it. */
-const LINGER_MS = 5000
+const REPLACED_LINK_LINGER_MS = 5000
 /** A member that could not be dialled counts as out of reach for this long. */
-const OUT_OF_REACH_MS = 5000
+const UNREACHABLE_RETENTION_MS = 5000
 
 export interface PeerNetworkOptions {
   self: MemberRecord
@@ -64,37 +64,37 @@
 export function createPeerNetwork (options: PeerNetworkOptions): PeerNetwork {
   const { self, clock, logger, transport = TCP_TRANSPORT } = options
   const dispatch = createDispatch()
-  const ticker = createTicker(clock, BEAT_PERIOD_MS)
+  const ticker = createTicker(clock, HEARTBEAT_INTERVAL_MS)
   const changed = createListeners<[]>()
   const connected = createListeners<[MemberRecord]>()
   const links = new Map<string, OpenLink>()
   /** Replaced, and open for what is still under way on them. */
   const lingering = new Set<Link>()
-  const outOfReach = new Map<string, number>()
-  const dials = new Map<string, Promise<Link | undefined>>()
+  const dialFailedAtMs = new Map<string, number>()
+  const pendingDials = new Map<string, Promise<Link | undefined>>()
   const gossip = createGossip(clock)
-  let known: readonly MemberRecord[] = [self]
+  let knownMembers: readonly MemberRecord[] = [self]
   let neighbours: ReadonlySet<string> = new Set()
 
   /**
    * Two members may dial each other at once. Each would close one of the two links, perhaps not the same one, and
    * lose both. So both keep the one that the lesser id dialled, and the other is closed once its calls have ended.
    */
-  const isSuperfluous = (memberId: string, isDialledHere: boolean): boolean => {
+  const isDuplicate = (memberId: string, isDialledHere: boolean): boolean => {
     const existing = links.get(memberId)
     if (existing === undefined || existing.isDialledHere === isDialledHere) return false
     return isDialledHere ? memberId < self.id : self.id < memberId
   }
-  const closeLater = (link: Link): void => {
+  const closeAfterLinger = (link: Link): void => {
     lingering.add(link)
-    clock.schedule(LINGER_MS, () => link.close('another link stands'))
+    clock.schedule(REPLACED_LINK_LINGER_MS, () => link.close('another link stands'))
   }
   const replace = (existing: Link | undefined, next: Link): void => {
     if (existing === undefined) return
-    if (existing.member.incarnation === next.member.incarnation) closeLater(existing)
+    if (existing.member.incarnation === next.member.incarnation) closeAfterLinger(existing)
     else existing.close('replaced by a newer process')
   }
-  const run = async (socket: Socket, isDialledHere: boolean): Promise<void> => {
+  const runSocket = async (socket: Socket, isDialledHere: boolean): Promise<void> => {
     let link: Link | undefined
     const reason = await runLink({
       socket,
@@ -104,17 +104,17 @@
       logger,
       dispatch,
       onFrame: options.onFrame,
-      isKept: member => neighbours.has(member.id),
+      isPermanent: member => neighbours.has(member.id),
       onHello: established => {
         const { member } = established
         link = established
-        if (isSuperfluous(member.id, isDialledHere)) {
-          closeLater(established)
+        if (isDuplicate(member.id, isDialledHere)) {
+          closeAfterLinger(established)
           return true
         }
         replace(links.get(member.id)?.link, established)
         links.set(member.id, { link: established, isDialledHere, lastUsedMs: clock.monotonic() })
-        outOfReach.delete(member.id)
+        dialFailedAtMs.delete(member.id)
         logger.info('peer-link-up', { peer: member.id, incarnation: member.incarnation })
         connected.emit(member)
         return true
@@ -126,64 +126,64 @@
     if (links.get(link.member.id)?.link === link) links.delete(link.member.id)
     logger.info('peer-link-down', { peer: link.member.id, reason })
   }
-  const dialling = createDialling({ transport, clock, run: socket => run(socket, true) })
+  const dialer = createDialer({ transport, clock, runLink: socket => runSocket(socket, true) })
 
   /** Waits until the dialled link stands, or has failed. */
   const dial = (member: MemberRecord): Promise<Link | undefined> => new Promise(resolve => {
     const settle = (): void => {
       dispose()
       const link = links.get(member.id)?.link
-      if (link === undefined) outOfReach.set(member.id, clock.monotonic())
-      dials.delete(member.id)
+      if (link === undefined) dialFailedAtMs.set(member.id, clock.monotonic())
+      pendingDials.delete(member.id)
       resolve(link)
     }
     const dispose = connected.add(up => { if (up.id === member.id) settle() })
-    dialling.dialOnce(member).then(settle)
+    dialer.dialOnce(member).then(settle)
   })
   const linkTo = async (memberId: string): Promise<Link | undefined> => {
-    const open = links.get(memberId)
-    if (open !== undefined) {
-      open.lastUsedMs = clock.monotonic()
-      return open.link
+    const openLink = links.get(memberId)
+    if (openLink !== undefined) {
+      openLink.lastUsedMs = clock.monotonic()
+      return openLink.link
     }
-    const member = known.find(candidate => candidate.id === memberId)
+    const member = knownMembers.find(candidate => candidate.id === memberId)
     // Neighbours are dialled all the time; a further dial would only race with that.
     if (member === undefined || neighbours.has(memberId)) return undefined
-    const pending = dials.get(memberId) ?? dial(member)
-    dials.set(memberId, pending)
-    return await pending
+    const pendingDial = pendingDials.get(memberId) ?? dial(member)
+    pendingDials.set(memberId, pendingDial)
+    return await pendingDial
   }
-  const isInReach = (memberId: string): boolean => {
+  const isReachable = (memberId: string): boolean => {
     if (memberId === self.id || links.has(memberId)) return true
-    if (neighbours.has(memberId) || !known.some(member => member.id === memberId)) return false
-    return clock.monotonic() - (outOfReach.get(memberId) ?? -Infinity) > OUT_OF_REACH_MS
+    if (neighbours.has(memberId) || !knownMembers.some(member => member.id === memberId)) return false
+    return clock.monotonic() - (dialFailedAtMs.get(memberId) ?? -Infinity) > UNREACHABLE_RETENTION_MS
   }
-  const closeIdle = (): void => [...links.values()]
+  const closeIdleLinks = (): void => [...links.values()]
     .filter(({ link, isDialledHere }) => isDialledHere && !neighbours.has(link.member.id))
-    .filter(({ lastUsedMs }) => clock.monotonic() - lastUsedMs > IDLE_LINK_MS)
+    .filter(({ lastUsedMs }) => clock.monotonic() - lastUsedMs > IDLE_LINK_TIMEOUT_MS)
     .forEach(({ link }) => link.close('idle'))
-  const spread = (message: GossipMessage, except?: string): void => [...links.values()]
+  const forwardToNeighbours = (message: GossipMessage, except?: string): void => [...links.values()]
     .filter(({ link }) => neighbours.has(link.member.id) && link.member.id !== except)
     .forEach(({ link }) => link.notify(GOSSIP_KIND, message))
   dispatch.listen<GossipMessage>({ kind: GOSSIP_KIND }, (message, from) => {
     if (message.origin.incarnation === self.incarnation || !gossip.isNew(message)) return
-    spread(message, from.id)
+    forwardToNeighbours(message, from.id)
     dispatch.handleNotice(message.kind, message.body, message.origin)
   })
-  const isFullMesh = (): boolean => neighbours.size >= known.length - 1
+  const isFullMesh = (): boolean => neighbours.size >= knownMembers.length - 1
   const notifyAll: Peers['notifyAll'] = (notice, body) => {
-    closeIdle()
+    closeIdleLinks()
     if (isFullMesh()) [...links.values()].forEach(({ link }) => link.notify(notice.kind, body))
-    else spread(gossip.wrap(self, notice.kind, body))
+    else forwardToNeighbours(gossip.wrap(self, notice.kind, body))
   }
   const notifyLinked: Peers['notifyLinked'] = (memberIds, notice, body) => {
     const frame = encodeFrame({ type: 'notice', kind: notice.kind, body })
     memberIds.forEach(id => links.get(id)?.link.sendEncoded(frame))
   }
   const setMembers = (records: readonly MemberRecord[]): void => {
-    known = [...records.filter(record => record.id !== self.id), self].sort((left, right) => left.id < right.id ? -1 : 1)
-    neighbours = neighboursOf(self.id, placeOnRing(known.map(member => member.id)))
-    dialling.setTargets(known.filter(member => neighbours.has(member.id) && self.id < member.id))
+    knownMembers = [...records.filter(record => record.id !== self.id), self].sort((left, right) => left.id < right.id ? -1 : 1)
+    neighbours = neighboursOf(self.id, orderOnRing(knownMembers.map(member => member.id)))
+    dialer.setTargets(knownMembers.filter(member => neighbours.has(member.id) && self.id < member.id))
     changed.emit()
   }
   const call: Peers['call'] = async (memberId, peerCall, body, callOptions) => {
@@ -198,11 +198,11 @@
     link?.notify(notice.kind, body)
   }
 
-  const server = transport.createServer(socket => { run(socket, false) })
+  const server = transport.createServer(socket => { runSocket(socket, false) })
   return {
     self,
-    members: () => known,
-    isConnected: isInReach,
+    members: () => knownMembers,
+    isConnected: isReachable,
     call,
     notify,
     notifyLinked,
@@ -216,10 +216,10 @@
       if (memberId === self.id || links.has(memberId)) return 'linked'
       return neighbours.has(memberId) ? 'unlinked' : 'none'
     },
-    connectOnce: peerAddress => dialling.dialOnce({ peerAddress }),
+    connectOnce: peerAddress => dialer.dialOnce({ peerAddress }),
     start: () => listenOn(server, self.peerAddress),
     close: async () => {
-      dialling.close()
+      dialer.close()
       const open = [...[...links.values()].map(({ link }) => link), ...lingering]
       open.forEach(link => link.goodbye())
       server.close()
--- a/packages/magnoliabay/src/node/members/reachabilityProbe.ts
+++ b/packages/magnoliabay/src/node/members/reachabilityProbe.ts
@@ -20,7 +20,7 @@
 const PING_TIMEOUT_MS = 1000
 /** Longer than a ping, so that a witness whose ping runs out can still say so. */
 const WITNESS_TIMEOUT_MS = 1500
-const WITNESSES = 3
+const MAX_WITNESSES = 3
 
 export function createReachabilityProbe (peers: Peers): ReachabilityProbe {
   const ping = async (memberId: string): Promise<boolean> => {
@@ -28,7 +28,7 @@
     return reply.ok
   }
   /** Undefined when the witness itself didn't answer. */
-  const ask = async (witness: string, member: string): Promise<boolean | undefined> => {
+  const askWitness = async (witness: string, member: string): Promise<boolean | undefined> => {
     const reply = await peers.call(witness, witnessCall, { member }, { timeoutMs: WITNESS_TIMEOUT_MS })
     return reply.ok ? reply.val.isReached : undefined
   }
@@ -40,10 +40,10 @@
       if (await ping(memberId)) return false
       const witnesses = peers.members()
         .filter(member => member.id !== memberId && member.id !== peers.self.id && peers.isConnected(member.id))
-        .slice(0, WITNESSES)
-      const words = await Promise.all(witnesses.map(witness => ask(witness.id, memberId)))
-      const heard = words.filter(word => word !== undefined)
-      return heard.length > 0 && heard.every(isReached => !isReached)
+        .slice(0, MAX_WITNESSES)
+      const answers = await Promise.all(witnesses.map(witness => askWitness(witness.id, memberId)))
+      const received = answers.filter(isReached => isReached !== undefined)
+      return received.length > 0 && received.every(isReached => !isReached)
     }
   }
 }
--- a/packages/magnoliabay/src/node/members/seeds.ts
+++ b/packages/magnoliabay/src/node/members/seeds.ts
@@ -6,7 +6,7 @@
 import { repeat } from '../clock'
 import type { PeerNetwork } from './network'
 
-const GREET_PERIOD_MS = 2000
+const CONTACT_INTERVAL_MS = 2000
 
 export interface SeedOptions {
   network: Pick<PeerNetwork, 'connectOnce'>
@@ -22,9 +22,9 @@
   if (seeds.length === 0) return
   const found = new AbortController()
   let next = 0
-  const greetOne = (): void => {
+  const contactNext = (): void => {
     if (!isNeeded()) return found.abort()
     network.connectOnce(seeds[next++ % seeds.length]!)
   }
-  repeat(clock, GREET_PERIOD_MS, AbortSignal.any([signal, found.signal]), greetOne)
+  repeat(clock, CONTACT_INTERVAL_MS, AbortSignal.any([signal, found.signal]), contactNext)
 }
--- a/packages/magnoliabay/src/node/members/terminationDetector.ts
+++ b/packages/magnoliabay/src/node/members/terminationDetector.ts
@@ -38,7 +38,7 @@
   declareTerminated (process: ProcessId): void
 }
 
-export interface ProofKeeperOptions {
+export interface TerminationDetectorOptions {
   peers: Peers
   clock: Clock
   logger: Logger
@@ -48,8 +48,8 @@
  * The list is wrong by one now and then, so one reading without the instance proves nothing. It has to be absent
  * from every reading for this long, and meanwhile neither hold a link to us nor be registered as a member.
  */
-const LISTED_GONE_MS = 30_000
-const LEAST_READINGS = 5
+const MIN_ABSENT_MS = 30_000
+const MIN_ABSENT_READINGS = 5
 
 export interface ProofMessage {
   process: ProcessId
@@ -59,81 +59,81 @@
 const proofNotice = definePeerNotice<ProofMessage>('members.gone')
 const proofsCall = definePeerCall<null, readonly ProofMessage[]>('members.proofs')
 
-interface Sighting {
+interface ObservedProcess {
   record: MemberRecord
   wasListed: boolean
   absentSinceMs: number | undefined
-  readings: number
+  absentReadings: number
 }
 
-export function createTerminationDetector (options: ProofKeeperOptions): TerminationDetector {
+export function createTerminationDetector (options: TerminationDetectorOptions): TerminationDetector {
   const { peers, clock, logger } = options
-  const sightings = new Map<string, Sighting>()
+  const observedProcesses = new Map<string, ObservedProcess>()
   const proofs = new Map<string, ProofMessage>()
-  const proven = createListeners<[ProcessId, TerminationProofKind]>()
+  const terminated = createListeners<[ProcessId, TerminationProofKind]>()
 
-  const accept = (process: ProcessId, proof: TerminationProofKind): boolean => {
+  const acceptProof = (process: ProcessId, proof: TerminationProofKind): boolean => {
     if (proofs.has(process.incarnation) || process.incarnation === peers.self.incarnation) return false
     proofs.set(process.incarnation, { process, proof })
     logger.info('process-gone', { member: process.member, incarnation: process.incarnation, proof })
-    proven.emit(process, proof)
+    terminated.emit(process, proof)
     return true
   }
   const prove = (process: ProcessId, proof: TerminationProofKind): void => {
-    if (accept(process, proof)) peers.notifyAll(proofNotice, { process, proof })
+    if (acceptProof(process, proof)) peers.notifyAll(proofNotice, { process, proof })
   }
-  const nameOf = (record: MemberRecord): ProcessId => ({ member: record.id, incarnation: record.incarnation })
+  const processIdOf = (record: MemberRecord): ProcessId => ({ member: record.id, incarnation: record.incarnation })
   /** Two processes can't have bound the same addresses: the older one's sockets are closed. */
   const isReplacedBy = (older: MemberRecord, newer: MemberRecord): boolean =>
     older.id === newer.id && older.incarnation !== newer.incarnation && older.startedAtMs < newer.startedAtMs &&
     older.peerAddress === newer.peerAddress && older.entryAddress === newer.entryAddress
-  const learn = (record: MemberRecord): void => {
-    if (!sightings.has(record.incarnation)) {
-      sightings.set(record.incarnation, { record, wasListed: false, absentSinceMs: undefined, readings: 0 })
+  const observeProcess = (record: MemberRecord): void => {
+    if (!observedProcesses.has(record.incarnation)) {
+      observedProcesses.set(record.incarnation, { record, wasListed: false, absentSinceMs: undefined, absentReadings: 0 })
     }
-    const all = [...sightings.values()].map(sighting => sighting.record)
+    const all = [...observedProcesses.values()].map(observed => observed.record)
     const replaced = all.filter(older => all.some(newer => isReplacedBy(older, newer)))
-    replaced.forEach(older => prove(nameOf(older), 'newer-incarnation'))
+    replaced.forEach(older => prove(processIdOf(older), 'newer-incarnation'))
   }
-  const isHeardOf = (record: MemberRecord): boolean =>
+  const isConnectedOrRegistered = (record: MemberRecord): boolean =>
     peers.isConnected(record.id) || peers.members().some(member => member.incarnation === record.incarnation)
-  const follow = (sighting: Sighting, isListed: boolean): void => {
-    sighting.wasListed ||= isListed
-    if (isListed || isHeardOf(sighting.record)) {
-      sighting.absentSinceMs = undefined
-      sighting.readings = 0
+  const updateAbsence = (observed: ObservedProcess, isListed: boolean): void => {
+    observed.wasListed ||= isListed
+    if (isListed || isConnectedOrRegistered(observed.record)) {
+      observed.absentSinceMs = undefined
+      observed.absentReadings = 0
       return
     }
-    sighting.absentSinceMs ??= clock.monotonic()
-    sighting.readings += 1
-    const absentMs = clock.monotonic() - sighting.absentSinceMs
-    if (sighting.wasListed && absentMs >= LISTED_GONE_MS && sighting.readings >= LEAST_READINGS) prove(nameOf(sighting.record), 'listed-gone')
+    observed.absentSinceMs ??= clock.monotonic()
+    observed.absentReadings += 1
+    const absentMs = clock.monotonic() - observed.absentSinceMs
+    if (observed.wasListed && absentMs >= MIN_ABSENT_MS && observed.absentReadings >= MIN_ABSENT_READINGS) prove(processIdOf(observed.record), 'listed-gone')
   }
-  const forgetProven = (): void => {
-    const settled = [...sightings.keys()].filter(incarnation => proofs.has(incarnation))
-    settled.forEach(incarnation => sightings.delete(incarnation))
+  const dropProven = (): void => {
+    const provenIncarnations = [...observedProcesses.keys()].filter(incarnation => proofs.has(incarnation))
+    provenIncarnations.forEach(incarnation => observedProcesses.delete(incarnation))
   }
-  const learnMembers = (): void => peers.members().forEach(learn)
+  const observeMembers = (): void => peers.members().forEach(observeProcess)
 
-  peers.onMembersChanged(learnMembers)
+  peers.onMembersChanged(observeMembers)
   peers.onConnected(async member => {
-    learn(member)
+    observeProcess(member)
     const known = await peers.call(member.id, proofsCall, null)
-    if (known.ok) known.val.forEach(({ process, proof }) => accept(process, proof))
+    if (known.ok) known.val.forEach(({ process, proof }) => acceptProof(process, proof))
   })
   peers.serve(proofsCall, () => [...proofs.values()])
-  peers.listen(proofNotice, ({ process, proof }) => { accept(process, proof) })
-  learnMembers()
+  peers.listen(proofNotice, ({ process, proof }) => { acceptProof(process, proof) })
+  observeMembers()
 
   return {
     proofFor: process => proofs.get(process.incarnation)?.proof,
-    onTerminated: proven.add,
-    observeProcess: learn,
-    recordGoodbye: record => prove(nameOf(record), 'goodbye'),
+    onTerminated: terminated.add,
+    observeProcess,
+    recordGoodbye: record => prove(processIdOf(record), 'goodbye'),
     observeInstanceList: listed => {
       const ids = new Set(listed.filter(instance => instance.role === 'entry').map(instance => instance.id))
-      sightings.forEach(sighting => follow(sighting, ids.has(sighting.record.id)))
-      forgetProven()
+      observedProcesses.forEach(observed => updateAbsence(observed, ids.has(observed.record.id)))
+      dropProven()
     },
     declareTerminated: process => prove(process, 'operator')
   }
