--- a/bench/allowance/fairness.ts
+++ b/bench/allowance/fairness.ts
@@ -59,7 +59,7 @@
 async function runQueue (discipline: Discipline, jobs: readonly Job[], slots: number, waits: Map<string, number[]>): Promise<number> {
   const clock = createBenchClock()
   const queue = createRequestQueue({
-    capacity: { hasRoomFor: (_model, started) => started < slots },
+    capacity: { hasCapacityFor: (_model, started) => started < slots },
     weightOf: () => 1,
     clock,
     logger: createSilentLogger()
--- a/packages/magnoliabay/src/node/queue/capacity.ts
+++ b/packages/magnoliabay/src/node/queue/capacity.ts
@@ -22,20 +22,20 @@
 export function createEngineCapacity (options: CapacityOptions): EngineCapacity {
   const { slotsPerEngine } = options
 
-  const roomAt = (engine: string): number => {
+  const availableSlotsAt = (engine: string): number => {
     const others = Math.max(0, options.loadOf(engine) - options.inFlight(engine))
-    const equalPart = Math.ceil(slotsPerEngine / Math.max(1, options.instanceCount()))
-    return Math.max(equalPart, slotsPerEngine - others)
+    const equalShare = Math.ceil(slotsPerEngine / Math.max(1, options.instanceCount()))
+    return Math.max(equalShare, slotsPerEngine - others)
   }
-  const sum = (engines: readonly string[], of: (engine: string) => number): number =>
-    engines.reduce((total, engine) => total + of(engine), 0)
+  const sum = (engines: readonly string[], countAt: (engine: string) => number): number =>
+    engines.reduce((total, engine) => total + countAt(engine), 0)
   return {
-    hasRoomFor: (model, started) => {
+    hasCapacityFor: (model, started) => {
       const engines = options.enginesOf(model)
       // While the model is being loaded, as many go on to wait for it as one engine will take.
       if (engines.length === 0) return started < slotsPerEngine
       // Requests that have their turn but no engine yet are in `started` alone, those of other models in flight alone.
-      return Math.max(started, sum(engines, options.inFlight)) < sum(engines, roomAt)
+      return Math.max(started, sum(engines, options.inFlight)) < sum(engines, availableSlotsAt)
     }
   }
 }
--- a/packages/magnoliabay/src/node/queue/queue.ts
+++ b/packages/magnoliabay/src/node/queue/queue.ts
@@ -13,11 +13,11 @@
 import type { Result } from '../result'
 import { CLASS_WEIGHTS, WORK_CLASSES } from './workClass'
 import type { WorkClass } from './workClass'
-import { createCounters } from './tokenCounters'
-import { createLine } from './waitingRequests'
-import type { Line, Waiter } from './waitingRequests'
-import { createPace } from './throughput'
-import type { Pace } from './throughput'
+import { createTokenCounters } from './tokenCounters'
+import { createWaitingRequests } from './waitingRequests'
+import type { WaitingRequests, WaitingRequest } from './waitingRequests'
+import { createThroughput } from './throughput'
+import type { Throughput } from './throughput'
 
 export interface QueueRequest {
   team: string
@@ -38,7 +38,7 @@
 /** Whether another request may be sent to an engine now. */
 export interface EngineCapacity {
   /** `started` requests for `model` have their turn here. */
-  hasRoomFor (model: string, started: number): boolean
+  hasCapacityFor (model: string, started: number): boolean
 }
 
 export interface QueueOptions {
@@ -66,132 +66,132 @@
 
 const DEFAULT_MAX_WAITING = 1000
 /** Capacity may grow without a word, since load reports lag. */
-const POLL_MS = 50
+const POLL_INTERVAL_MS = 50
 const MS_PER_SECOND = 1000
 const MAX_RETRY_AFTER_S = 60
 
-interface QueuedRequest extends Waiter {
+interface QueuedRequest extends WaitingRequest {
   settle: (result: Result<QueuePermit, Failure>) => void
 }
 
 export function createRequestQueue (options: QueueOptions): RequestQueue {
   const { capacity, clock, logger, weightOf } = options
   const maxWaiting = options.maxWaiting ?? DEFAULT_MAX_WAITING
-  const line = createLine<QueuedRequest>()
-  const teams = createCounters(weightOf)
-  const classes = createCounters(name => CLASS_WEIGHTS[name as WorkClass])
-  const paces = new Map<string, Pace>()
+  const waitingRequests = createWaitingRequests<QueuedRequest>()
+  const teamCounters = createTokenCounters(weightOf)
+  const classCounters = createTokenCounters(name => CLASS_WEIGHTS[name as WorkClass])
+  const throughputs = new Map<string, Throughput>()
   const started = new Map<string, number>()
   const running = new Map<string, number>()
   const runningInClass = new Map<string, number>()
   let cancelPoll: CancelTimer | undefined
 
   const now = (): number => clock.monotonic()
-  const paceOf = (model: string): Pace => {
-    const pace = paces.get(model) ?? createPace()
-    paces.set(model, pace)
-    return pace
+  const throughputOf = (model: string): Throughput => {
+    const throughput = throughputs.get(model) ?? createThroughput()
+    throughputs.set(model, throughput)
+    return throughput
   }
-  const mayStart = (model: string): boolean => capacity.hasRoomFor(model, started.get(model) ?? 0)
+  const hasCapacity = (model: string): boolean => capacity.hasCapacityFor(model, started.get(model) ?? 0)
 
-  const start = (req: Waiter): QueuePermit => {
+  const start = (req: WaitingRequest): QueuePermit => {
     const { team, model, workClass, reservedTokens: tokens } = req
-    teams.activate(team)
-    classes.activate(workClass)
-    teams.charge(team, tokens)
-    classes.charge(workClass, tokens)
-    paceOf(model).noteStarted(tokens, now())
-    add(started, model, 1)
-    add(running, team, 1)
-    add(runningInClass, workClass, 1)
-    let isDone = false
+    teamCounters.activate(team)
+    classCounters.activate(workClass)
+    teamCounters.charge(team, tokens)
+    classCounters.charge(workClass, tokens)
+    throughputOf(model).recordStarted(tokens, now())
+    addToCount(started, model, 1)
+    addToCount(running, team, 1)
+    addToCount(runningInClass, workClass, 1)
+    let isReleased = false
     return {
       release: usedTokens => {
-        if (isDone) return
-        isDone = true
-        teams.charge(team, usedTokens - tokens)
-        classes.charge(workClass, usedTokens - tokens)
-        add(started, model, -1)
-        add(running, team, -1)
-        add(runningInClass, workClass, -1)
-        rest(req)
+        if (isReleased) return
+        isReleased = true
+        teamCounters.charge(team, usedTokens - tokens)
+        classCounters.charge(workClass, usedTokens - tokens)
+        addToCount(started, model, -1)
+        addToCount(running, team, -1)
+        addToCount(runningInClass, workClass, -1)
+        deactivateIfIdle(req)
         dispatch()
       }
     }
   }
   /** Team and class have had their last request for now. */
-  const rest = ({ team, workClass }: Waiter): void => {
-    if (line.sizeOf(team) === 0 && !running.has(team)) teams.deactivate(team)
-    if (line.teams(workClass).length === 0 && !runningInClass.has(workClass)) classes.deactivate(workClass)
+  const deactivateIfIdle = ({ team, workClass }: WaitingRequest): void => {
+    if (waitingRequests.sizeOfTeam(team) === 0 && !running.has(team)) teamCounters.deactivate(team)
+    if (waitingRequests.teams(workClass).length === 0 && !runningInClass.has(workClass)) classCounters.deactivate(workClass)
   }
   /** The class with the least counter, in it the team with the least, in it the earliest deadline that can start. */
-  const next = (): QueuedRequest | undefined => {
-    const startable = new Map<string, boolean>()
+  const nextStartable = (): QueuedRequest | undefined => {
+    const startableByModel = new Map<string, boolean>()
     const canStart = (req: QueuedRequest): boolean => {
-      const known = startable.get(req.model) ?? mayStart(req.model)
-      startable.set(req.model, known)
+      const known = startableByModel.get(req.model) ?? hasCapacity(req.model)
+      startableByModel.set(req.model, known)
       return known
     }
     const firstOf = (workClass: WorkClass): QueuedRequest | undefined => firstDefined(
-      teams.order(line.teams(workClass)),
-      team => line.of(workClass, team).find(canStart)
+      teamCounters.order(waitingRequests.teams(workClass)),
+      team => waitingRequests.ofTeam(workClass, team).find(canStart)
     )
-    const waitingClasses = WORK_CLASSES.filter(workClass => line.teams(workClass).length > 0)
-    return firstDefined(classes.order(waitingClasses), name => firstOf(name as WorkClass))
+    const waitingClasses = WORK_CLASSES.filter(workClass => waitingRequests.teams(workClass).length > 0)
+    return firstDefined(classCounters.order(waitingClasses), name => firstOf(name as WorkClass))
   }
   const dispatch = (): void => {
-    for (let req = next(); req !== undefined; req = next()) {
-      leave(req)
+    for (let req = nextStartable(); req !== undefined; req = nextStartable()) {
+      removeWaiting(req)
       req.settle(Ok(start(req)))
     }
-    keepPolling()
+    schedulePoll()
   }
-  const leave = (req: QueuedRequest): void => {
-    if (!line.remove(req)) return
-    const isStillWaited = line.all().some(other => other.model === req.model)
-    if (!isStillWaited) paceOf(req.model).noteWaiting(false, now())
+  const removeWaiting = (req: QueuedRequest): void => {
+    if (!waitingRequests.remove(req)) return
+    const hasOtherWaiting = waitingRequests.all().some(other => other.model === req.model)
+    if (!hasOtherWaiting) throughputOf(req.model).setWaiting(false, now())
   }
-  const keepPolling = (): void => {
-    if (line.size() === 0 || cancelPoll !== undefined) return
-    cancelPoll = clock.schedule(POLL_MS, () => {
+  const schedulePoll = (): void => {
+    if (waitingRequests.size() === 0 || cancelPoll !== undefined) return
+    cancelPoll = clock.schedule(POLL_INTERVAL_MS, () => {
       cancelPoll = undefined
       dispatch()
     })
   }
   const refuse = (req: QueuedRequest, failure: Failure, reason: string): void => {
-    leave(req)
-    rest(req)
+    removeWaiting(req)
+    deactivateIfIdle(req)
     logger.info('request-refused-in-queue', { team: req.team, model: req.model, reason, waitedMs: Math.round(now() - req.enteredAtMs) })
     req.settle(Err(failure))
   }
 
   /** Milliseconds until the request would get its turn, or undefined while nobody can tell. */
-  const estimate = (req: QueueRequest): number | undefined => {
-    const pace = paceOf(req.model).tokensPerSecond(now())
-    if (pace === undefined) return undefined
-    const rivals = line.all().filter(other => other.model === req.model && isBeforeOrWith(other, req))
-    const ahead = rivals.filter(other => other.team === req.team && other.deadlineMs <= req.deadlineMs)
+  const estimateWaitMs = (req: QueueRequest): number | undefined => {
+    const tokensPerSecond = throughputOf(req.model).tokensPerSecond(now())
+    if (tokensPerSecond === undefined) return undefined
+    const competitors = waitingRequests.all().filter(other => other.model === req.model && competesWith(other, req))
+    const ahead = competitors.filter(other => other.team === req.team && other.deadlineMs <= req.deadlineMs)
     const tokensAhead = ahead.reduce((sum, other) => sum + other.reservedTokens, 0)
-    const weights = [...new Set([...rivals.map(other => other.team), req.team])].reduce((sum, team) => sum + weightOf(team), 0)
-    return tokensAhead / (pace * weightOf(req.team) / weights) * MS_PER_SECOND
+    const totalWeight = [...new Set([...competitors.map(other => other.team), req.team])].reduce((sum, team) => sum + weightOf(team), 0)
+    return tokensAhead / (tokensPerSecond * weightOf(req.team) / totalWeight) * MS_PER_SECOND
   }
-  const overloaded = (message: string, waitMs: number): Failure =>
+  const overloadedRefusal = (message: string, waitMs: number): Failure =>
     createRefusal('overloaded', message, Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))))
   /**
    * A team that sends several times its share must not fill the places of the others: when there is no place
    * left, the team with the most waiting for its weight gives one up, the last of its own line.
    */
-  const makeRoom = (team: string): boolean => {
-    const load = (name: string): number => (line.sizeOf(name) + (name === team ? 1 : 0)) / weightOf(name)
-    const names = [...new Set([...line.all().map(req => req.team), team])]
-    const greatest = names.reduce((most, name) => load(name) > load(most) ? name : most, team)
-    if (greatest === team) return false
-    const last = line.of('patient', greatest).at(-1) ?? line.of('interactive', greatest).at(-1)
-    if (last === undefined) return false
-    refuse(last, overloaded('Too many requests of the team wait here.', POLL_MS), 'place given to another team')
+  const evictForTeam = (team: string): boolean => {
+    const loadOf = (name: string): number => (waitingRequests.sizeOfTeam(name) + (name === team ? 1 : 0)) / weightOf(name)
+    const teamNames = [...new Set([...waitingRequests.all().map(req => req.team), team])]
+    const busiestTeam = teamNames.reduce((busiest, name) => loadOf(name) > loadOf(busiest) ? name : busiest, team)
+    if (busiestTeam === team) return false
+    const evicted = waitingRequests.ofTeam('patient', busiestTeam).at(-1) ?? waitingRequests.ofTeam('interactive', busiestTeam).at(-1)
+    if (evicted === undefined) return false
+    refuse(evicted, overloadedRefusal('Too many requests of the team wait here.', POLL_INTERVAL_MS), 'place given to another team')
     return true
   }
-  const wait = (req: QueueRequest): Promise<Result<QueuePermit, Failure>> => new Promise(resolve => {
+  const enqueue = (req: QueueRequest): Promise<Result<QueuePermit, Failure>> => new Promise(resolve => {
     let cancelTimer: CancelTimer = () => {}
     const queued: QueuedRequest = {
       ...req,
@@ -206,41 +206,41 @@
     const onAbort = (): void => refuse(queued, createRefusal('deadline_exceeded', 'The request was ended before it got its turn.', 1), 'aborted')
     cancelTimer = clock.schedule(req.deadlineMs - now(), onDeadline)
     req.signal.addEventListener('abort', onAbort, { once: true })
-    teams.activate(req.team)
-    classes.activate(req.workClass)
-    line.add(queued)
-    paceOf(req.model).noteWaiting(true, now())
+    teamCounters.activate(req.team)
+    classCounters.activate(req.workClass)
+    waitingRequests.add(queued)
+    throughputOf(req.model).setWaiting(true, now())
     dispatch()
   })
 
   return {
     dispatch,
-    backlogByTeam: () => waitingOf(line),
+    backlogByTeam: () => backlogOf(waitingRequests),
     acquire: async req => {
-      const isFree = line.size() === 0 && mayStart(req.model)
-      if (isFree) return Ok(start({ ...req, enteredAtMs: now() }))
+      const canStartNow = waitingRequests.size() === 0 && hasCapacity(req.model)
+      if (canStartNow) return Ok(start({ ...req, enteredAtMs: now() }))
       if (req.signal.aborted || req.deadlineMs <= now()) return Err(createRefusal('deadline_exceeded', 'The deadline passed before the request got its turn.', 1))
-      const estimatedMs = estimate(req)
+      const estimatedMs = estimateWaitMs(req)
       const leftMs = req.deadlineMs - now()
       if (estimatedMs !== undefined && estimatedMs > leftMs) {
-        return Err(overloaded(`The wait would be about ${Math.ceil(estimatedMs / MS_PER_SECOND)} s, longer than the request's deadline.`, estimatedMs - leftMs))
+        return Err(overloadedRefusal(`The wait would be about ${Math.ceil(estimatedMs / MS_PER_SECOND)} s, longer than the request's deadline.`, estimatedMs - leftMs))
       }
-      if (line.size() >= maxWaiting && !makeRoom(req.team)) return Err(overloaded('Too many requests wait here.', estimatedMs ?? 0))
-      return await wait(req)
+      if (waitingRequests.size() >= maxWaiting && !evictForTeam(req.team)) return Err(overloadedRefusal('Too many requests wait here.', estimatedMs ?? 0))
+      return await enqueue(req)
     }
   }
 }
 
-function isBeforeOrWith (other: Waiter, req: QueueRequest): boolean {
+function competesWith (other: WaitingRequest, req: QueueRequest): boolean {
   return other.workClass === 'interactive' || req.workClass === 'patient'
 }
 
-function waitingOf (line: Line<QueuedRequest>): readonly TeamBacklog[] {
-  return WORK_CLASSES.flatMap(workClass => line.teams(workClass)
-    .map(team => ({ team, workClass, waiting: line.of(workClass, team).length })))
+function backlogOf (waitingRequests: WaitingRequests<QueuedRequest>): readonly TeamBacklog[] {
+  return WORK_CLASSES.flatMap(workClass => waitingRequests.teams(workClass)
+    .map(team => ({ team, workClass, waiting: waitingRequests.ofTeam(workClass, team).length })))
 }
 
-function add (counts: Map<string, number>, key: string, change: number): void {
+function addToCount (counts: Map<string, number>, key: string, change: number): void {
   const value = (counts.get(key) ?? 0) + change
   if (value === 0) counts.delete(key)
   else counts.set(key, value)
--- a/packages/magnoliabay/src/node/queue/tokenCounters.ts
+++ b/packages/magnoliabay/src/node/queue/tokenCounters.ts
@@ -4,7 +4,7 @@
  * many requests they send and however long these are.
  */
 
-export interface Counters {
+export interface TokenCounters {
   /** The name has work again. What it didn't use while it had none is not saved up. */
   activate (name: string): void
   /** The name has no work any more. */
@@ -15,14 +15,14 @@
   order (names: readonly string[]): readonly string[]
 }
 
-export function createCounters (weightOf: (name: string) => number): Counters {
+export function createTokenCounters (weightOf: (name: string) => number): TokenCounters {
   const counters = new Map<string, number>()
   const active = new Set<string>()
   /** Where somebody who comes while nobody is active begins. */
-  let floor = 0
+  let idleFloor = 0
 
   const valueOf = (name: string): number => counters.get(name) ?? 0
-  const leastActive = (): number => active.size === 0 ? floor : Math.min(...[...active].map(valueOf))
+  const leastActive = (): number => active.size === 0 ? idleFloor : Math.min(...[...active].map(valueOf))
   return {
     activate: name => {
       if (active.has(name)) return
@@ -31,7 +31,7 @@
     },
     deactivate: name => {
       if (!active.delete(name)) return
-      floor = Math.max(floor, valueOf(name))
+      idleFloor = Math.max(idleFloor, valueOf(name))
       // In memory only as long as it tells more than the floor.
       if (active.size === 0) counters.clear()
     },
--- a/packages/magnoliabay/src/node/queue/waitingRequests.ts
+++ b/packages/magnoliabay/src/node/queue/waitingRequests.ts
@@ -1,7 +1,7 @@
 /** Those who wait, by class and team, in order of their deadlines. */
 import type { WorkClass } from './workClass'
 
-export interface Waiter {
+export interface WaitingRequest {
   team: string
   model: string
   workClass: WorkClass
@@ -12,19 +12,19 @@
   enteredAtMs: number
 }
 
-export interface Line<W extends Waiter> {
-  add (waiter: W): void
-  remove (waiter: W): boolean
+export interface WaitingRequests<W extends WaitingRequest> {
+  add (request: W): void
+  remove (request: W): boolean
   size (): number
-  sizeOf (team: string): number
+  sizeOfTeam (team: string): number
   teams (workClass: WorkClass): readonly string[]
   /** Waiters of one team and class, earliest deadline first. */
-  of (workClass: WorkClass, team: string): readonly W[]
+  ofTeam (workClass: WorkClass, team: string): readonly W[]
   all (): readonly W[]
 }
 
-export function createLine<W extends Waiter> (): Line<W> {
-  const lines = new Map<string, W[]>()
+export function createWaitingRequests<W extends WaitingRequest> (): WaitingRequests<W> {
+  const requestsByKey = new Map<string, W[]>()
   const teamSizes = new Map<string, number>()
   let size = 0
 
@@ -36,28 +36,28 @@
     else teamSizes.set(team, next)
   }
   return {
-    add: waiter => {
-      const key = keyOf(waiter.workClass, waiter.team)
-      const line = lines.get(key) ?? []
-      const later = line.findIndex(other => other.deadlineMs > waiter.deadlineMs)
-      line.splice(later < 0 ? line.length : later, 0, waiter)
-      lines.set(key, line)
-      count(waiter.team, 1)
+    add: request => {
+      const key = keyOf(request.workClass, request.team)
+      const teamRequests = requestsByKey.get(key) ?? []
+      const later = teamRequests.findIndex(other => other.deadlineMs > request.deadlineMs)
+      teamRequests.splice(later < 0 ? teamRequests.length : later, 0, request)
+      requestsByKey.set(key, teamRequests)
+      count(request.team, 1)
     },
-    remove: waiter => {
-      const key = keyOf(waiter.workClass, waiter.team)
-      const line = lines.get(key) ?? []
-      const index = line.indexOf(waiter)
+    remove: request => {
+      const key = keyOf(request.workClass, request.team)
+      const teamRequests = requestsByKey.get(key) ?? []
+      const index = teamRequests.indexOf(request)
       if (index < 0) return false
-      line.splice(index, 1)
-      if (line.length === 0) lines.delete(key)
-      count(waiter.team, -1)
+      teamRequests.splice(index, 1)
+      if (teamRequests.length === 0) requestsByKey.delete(key)
+      count(request.team, -1)
       return true
     },
     size: () => size,
-    sizeOf: team => teamSizes.get(team) ?? 0,
-    teams: workClass => [...teamSizes.keys()].filter(team => lines.has(keyOf(workClass, team))),
-    of: (workClass, team) => lines.get(keyOf(workClass, team)) ?? [],
-    all: () => [...lines.values()].flat()
+    sizeOfTeam: team => teamSizes.get(team) ?? 0,
+    teams: workClass => [...teamSizes.keys()].filter(team => requestsByKey.has(keyOf(workClass, team))),
+    ofTeam: (workClass, team) => requestsByKey.get(keyOf(workClass, team)) ?? [],
+    all: () => [...requestsByKey.values()].flat()
   }
 }
