--- a/packages/magnoliabay/src/node/routing/index.ts
+++ b/packages/magnoliabay/src/node/routing/index.ts
@@ -10,7 +10,7 @@
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { chooseReplica } from './replicaSelection'
-import { createWaitingRoom } from './replicaWait'
+import { createReplicaWaits } from './replicaWait'
 
 export interface ReplicaRequest {
   /** A model, or an adapter, which needs its model at the same engine. */
@@ -38,7 +38,7 @@
   inFlight (engine: string): number
 }
 
-export interface RoutingOptions {
+export interface RouterOptions {
   cells: Cells
   cfg: Pick<ConfigProvider, 'adapter' | 'team'>
   /** What the platform's list says about engines, to leave out those that are leaving. */
@@ -53,12 +53,12 @@
 
 const RETRY_AFTER_SECONDS = 5
 
-export function createReplicaRouter (options: RoutingOptions): ReplicaRouter {
+export function createReplicaRouter (options: RouterOptions): ReplicaRouter {
   const { cells, cfg, clock, directory } = options
   const inFlight = new Map<string, number>()
-  const waitingRoom = createWaitingRoom(cells, clock)
+  const replicaWaits = createReplicaWaits(cells, clock)
 
-  const count = (engine: string, change: number): void => {
+  const changeInFlight = (engine: string, change: number): void => {
     const next = (inFlight.get(engine) ?? 0) + change
     if (next === 0) inFlight.delete(engine)
     else inFlight.set(engine, next)
@@ -69,59 +69,59 @@
    * A table may be old: its steward may be paused, cut off from us, or gone. The platform's list, which every
    * instance reads itself, takes leaving engines out all the same, so they get nothing new within its lag.
    */
-  const isStaying = (replica: ReplicaEntry): boolean => directory.engine(replica.engine)?.status !== 'leaving'
+  const isNotLeaving = (replica: ReplicaEntry): boolean => directory.engine(replica.engine)?.status !== 'leaving'
   const targetOf = (name: string): Target => {
     const adapter = cfg.adapter(name)
     return adapter === undefined ? { model: name } : { model: adapter.model, adapter: name }
   }
   const isUsable = (req: ReplicaRequest, target: Target, replica: ReplicaEntry): boolean =>
-    !req.excludedEngines.has(replica.engine) && isStaying(replica) && (target.adapter === undefined || replica.adapters.includes(target.adapter))
+    !req.excludedEngines.has(replica.engine) && isNotLeaving(replica) && (target.adapter === undefined || replica.adapters.includes(target.adapter))
   /**
    * An engine that has lost its replica since is no longer the one that failed, and its next load may serve. Without
    * this, a request whose only engine died would wait beside the replica loaded anew until its deadline.
    */
-  const forgiveLost = (avoid: Set<string>, all: readonly ReplicaEntry[]): void => {
-    const lost = [...avoid].filter(engine => !all.some(replica => replica.engine === engine))
-    lost.forEach(engine => avoid.delete(engine))
+  const clearLostExclusions = (excludedEngines: Set<string>, all: readonly ReplicaEntry[]): void => {
+    const lost = [...excludedEngines].filter(engine => !all.some(replica => replica.engine === engine))
+    lost.forEach(engine => excludedEngines.delete(engine))
   }
   const choose = (req: ReplicaRequest, target: Target): AcquiredReplica | undefined => {
     const all = cells.replicas.replicasOf(target.model)
-    forgiveLost(req.excludedEngines, all)
+    clearLostExclusions(req.excludedEngines, all)
     const avoidDomains = new Set(all.filter(replica => req.excludedEngines.has(replica.engine)).map(replica => replica.failureDomain))
     const replica = chooseReplica({ replicas: all.filter(candidate => isUsable(req, target, candidate)), prefix: req.prefixHash, loadOf, avoidDomains })
     if (replica === undefined) return undefined
-    count(replica.engine, 1)
+    changeInFlight(replica.engine, 1)
     cells.recordUse(target.model, target.adapter)
-    return { replica, release: releaseOnce(target, replica.engine) }
+    return { replica, release: createRelease(target, replica.engine) }
   }
-  const releaseOnce = ({ model, adapter }: Target, engine: string): () => void => {
+  const createRelease = ({ model, adapter }: Target, engine: string): () => void => {
     let isReleased = false
     return () => {
       if (isReleased) return
       isReleased = true
-      count(engine, -1)
+      changeInFlight(engine, -1)
       // A long answer is use until its end.
       cells.recordUse(model, adapter)
     }
   }
-  const refuse = (name: string, model: string): Failure => {
-    const reason = waitingRoom.reasonFor(model)
+  const createTimeoutRefusal = (name: string, model: string): Failure => {
+    const reason = replicaWaits.reasonFor(model)
     return createRefusal('deadline_exceeded', `No replica of ${name} became ready in time${reason === undefined ? '' : `: ${reason}`}.`, RETRY_AFTER_SECONDS)
   }
   return {
     inFlight: engine => inFlight.get(engine) ?? 0,
     acquireReplica: async req => {
       const target = targetOf(req.modelOrAdapter)
-      const immediate = choose(req, target)
-      if (immediate !== undefined) return Ok(immediate)
-      const route = await waitingRoom.wait({
+      const acquiredNow = choose(req, target)
+      if (acquiredNow !== undefined) return Ok(acquiredNow)
+      const acquired = await replicaWaits.wait({
         ...target,
         deadlineMs: req.deadlineMs,
         weight: cfg.team(req.team ?? '')?.weight ?? 1,
         signal: req.signal,
-        attempt: () => choose(req, target)
+        tryAcquire: () => choose(req, target)
       })
-      return route === undefined ? Err(refuse(req.modelOrAdapter, target.model)) : Ok(route)
+      return acquired === undefined ? Err(createTimeoutRefusal(req.modelOrAdapter, target.model)) : Ok(acquired)
     }
   }
 }
--- a/packages/magnoliabay/src/node/routing/replicaSelection.ts
+++ b/packages/magnoliabay/src/node/routing/replicaSelection.ts
@@ -5,7 +5,7 @@
 import type { ReplicaEntry } from '../cells'
 import { rankByRendezvous } from '../utils'
 
-export interface ChoiceRequest {
+export interface SelectionRequest {
   replicas: readonly ReplicaEntry[]
   /** Hash of the prompt's beginning, when it is worth keeping together. */
   prefix?: string
@@ -16,22 +16,22 @@
 }
 
 /** A replica may be this much busier than the mean before a prefix goes elsewhere. */
-const BOUND = 1.25
+const MAX_LOAD_RATIO = 1.25
 /** Below this load nobody waits, so the prefix decides alone. */
-const FREE_LOAD = 4
+const UNCONTENDED_LOAD = 4
 
 /**
  * Rendezvous hashing gives all instances the same order without a word between them, and needs no cache events,
  * which come late and with gaps: an event that is missed costs nothing.
  */
-export function chooseReplica (req: ChoiceRequest): ReplicaEntry | undefined {
-  const elsewhere = req.replicas.filter(replica => !req.avoidDomains.has(replica.failureDomain))
-  const usable = elsewhere.length > 0 ? elsewhere : req.replicas
+export function chooseReplica (req: SelectionRequest): ReplicaEntry | undefined {
+  const outsideAvoidedDomains = req.replicas.filter(replica => !req.avoidDomains.has(replica.failureDomain))
+  const usable = outsideAvoidedDomains.length > 0 ? outsideAvoidedDomains : req.replicas
   if (usable.length < 2) return usable[0]
   const leastBusy = usable.reduce((best, replica) => req.loadOf(replica.engine) < req.loadOf(best.engine) ? replica : best)
   if (req.prefix === undefined) return leastBusy
   const mean = usable.reduce((sum, replica) => sum + req.loadOf(replica.engine), 0) / usable.length
-  const bound = Math.max(FREE_LOAD, mean * BOUND)
+  const maxLoad = Math.max(UNCONTENDED_LOAD, mean * MAX_LOAD_RATIO)
   const ranked = rankByRendezvous(req.prefix, usable, replica => replica.engine)
-  return ranked.find(replica => req.loadOf(replica.engine) <= bound) ?? leastBusy
+  return ranked.find(replica => req.loadOf(replica.engine) <= maxLoad) ?? leastBusy
 }
--- a/packages/magnoliabay/src/node/routing/replicaWait.ts
+++ b/packages/magnoliabay/src/node/routing/replicaWait.ts
@@ -7,8 +7,8 @@
 import type { CancelTimer, Clock } from '../clock'
 
 /** How often those who wait tell the steward again; it also meets a demand that got lost. */
-const DEMAND_PERIOD_MS = 1000
-const GATHER_MS = 5
+const DEMAND_INTERVAL_MS = 1000
+const BATCH_DELAY_MS = 5
 
 export interface WaitRequest<T> {
   model: string
@@ -18,10 +18,10 @@
   weight: number
   signal: AbortSignal
   /** Tried whenever something has changed; undefined to go on waiting. */
-  attempt: () => T | undefined
+  tryAcquire: () => T | undefined
 }
 
-export interface WaitingRoom {
+export interface ReplicaWaits {
   /** Resolves to what `attempt` gave, or to undefined at the deadline or when `signal` aborts. */
   wait<T> (req: WaitRequest<T>): Promise<T | undefined>
   /** Why the model is not there yet, as the steward last said. */
@@ -37,27 +37,27 @@
 }
 
 /** Those who wait for one model. */
-interface Room {
-  standing: Set<Waiter>
+interface ModelWait {
+  waiters: Set<Waiter>
   /** Adapters that the steward has been told of in this round. */
-  told: Set<string>
-  isTellingSoon: boolean
+  requestedAdapters: Set<string>
+  isDemandScheduled: boolean
 }
 
-function retryAll (standing: ReadonlySet<Waiter>): void {
-  const all = [...standing]
+function retryAll (waiters: ReadonlySet<Waiter>): void {
+  const all = [...waiters]
   all.forEach(waiter => waiter.retry())
 }
 
-export function createWaitingRoom (cells: Cells, clock: Clock): WaitingRoom {
-  const rooms = new Map<string, Room>()
+export function createReplicaWaits (cells: Cells, clock: Clock): ReplicaWaits {
+  const modelWaits = new Map<string, ModelWait>()
   const reasons = new Map<string, string>()
 
-  const tell = async (model: string, { standing, told }: Room): Promise<void> => {
-    const all = [...standing]
+  const sendDemand = async (model: string, { waiters, requestedAdapters }: ModelWait): Promise<void> => {
+    const all = [...waiters]
     if (all.length === 0) return
     const adapters = [...new Set(all.flatMap(waiter => waiter.adapter ?? []))]
-    adapters.forEach(adapter => told.add(adapter))
+    adapters.forEach(adapter => requestedAdapters.add(adapter))
     const deadlineMs = Math.min(...all.map(waiter => waiter.deadlineMs))
     const reply = await cells.requestReplica({
       model,
@@ -68,39 +68,39 @@
     })
     reasons.set(model, reply.reason)
     // The reply may have brought a table that a lost notice should have brought.
-    retryAll(standing)
+    retryAll(waiters)
   }
   /** One loop for each model that is waited for, for as long as anybody waits. */
-  const keepTelling = async (model: string, room: Room): Promise<void> => {
-    while (room.standing.size > 0) {
-      room.told.clear()
-      await tell(model, room)
-      if (room.standing.size > 0) await sleep(clock, DEMAND_PERIOD_MS)
+  const repeatDemand = async (model: string, modelWait: ModelWait): Promise<void> => {
+    while (modelWait.waiters.size > 0) {
+      modelWait.requestedAdapters.clear()
+      await sendDemand(model, modelWait)
+      if (modelWait.waiters.size > 0) await sleep(clock, DEMAND_INTERVAL_MS)
     }
-    if (rooms.get(model) === room) rooms.delete(model)
+    if (modelWaits.get(model) === modelWait) modelWaits.delete(model)
   }
   /** What the steward has not heard of yet is told at once, together with what else comes in the next moment. */
-  const tellSoon = (model: string, room: Room): void => {
-    if (room.isTellingSoon) return
-    room.isTellingSoon = true
-    clock.schedule(GATHER_MS, () => {
-      room.isTellingSoon = false
-      tell(model, room)
+  const scheduleDemand = (model: string, modelWait: ModelWait): void => {
+    if (modelWait.isDemandScheduled) return
+    modelWait.isDemandScheduled = true
+    clock.schedule(BATCH_DELAY_MS, () => {
+      modelWait.isDemandScheduled = false
+      sendDemand(model, modelWait)
     })
   }
   const add = (waiter: Waiter): void => {
-    const room = rooms.get(waiter.model)
-    if (room === undefined) {
-      const created: Room = { standing: new Set([waiter]), told: new Set(), isTellingSoon: false }
-      rooms.set(waiter.model, created)
-      keepTelling(waiter.model, created)
+    const modelWait = modelWaits.get(waiter.model)
+    if (modelWait === undefined) {
+      const newWait: ModelWait = { waiters: new Set([waiter]), requestedAdapters: new Set(), isDemandScheduled: false }
+      modelWaits.set(waiter.model, newWait)
+      repeatDemand(waiter.model, newWait)
       return
     }
-    room.standing.add(waiter)
-    const isNews = waiter.adapter !== undefined && !room.told.has(waiter.adapter)
-    if (isNews || room.standing.size === 1) tellSoon(waiter.model, room)
+    modelWait.waiters.add(waiter)
+    const isNewAdapter = waiter.adapter !== undefined && !modelWait.requestedAdapters.has(waiter.adapter)
+    if (isNewAdapter || modelWait.waiters.size === 1) scheduleDemand(waiter.model, modelWait)
   }
-  cells.replicas.onChanged(() => rooms.forEach(room => retryAll(room.standing)))
+  cells.replicas.onChanged(() => modelWaits.forEach(modelWait => retryAll(modelWait.waiters)))
 
   return {
     reasonFor: model => reasons.get(model),
@@ -108,14 +108,14 @@
       if (req.signal.aborted) return resolve(undefined)
       let cancelTimer: CancelTimer = () => {}
       const settle = (value: T | undefined): void => {
-        rooms.get(req.model)?.standing.delete(waiter)
+        modelWaits.get(req.model)?.waiters.delete(waiter)
         cancelTimer()
         req.signal.removeEventListener('abort', giveUp)
         resolve(value)
       }
       const giveUp = (): void => settle(undefined)
       const retry = (): void => {
-        const value = req.attempt()
+        const value = req.tryAcquire()
         if (value !== undefined) settle(value)
       }
       const waiter: Waiter = { model: req.model, adapter: req.adapter, deadlineMs: req.deadlineMs, weight: req.weight, retry }
