--- a/packages/magnoliabay/src/node/admission/keyring.ts
+++ b/packages/magnoliabay/src/node/admission/keyring.ts
@@ -11,7 +11,7 @@
 import type { RangeResult, Store } from '../store'
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
-import { createContact } from './withdrawalFreshness'
+import { createWithdrawalFreshness } from './withdrawalFreshness'
 import { KEY_RECORDS_PREFIX, parseKeyRecord, secretMatches, splitKey } from './keys'
 import type { CallerKeyRecord } from './keys'
 import { persistWithdrawals } from './persistWithdrawals'
@@ -45,39 +45,39 @@
 export function createKeyring (options: KeyringOptions): Keyring {
   const { store, peers, clock, logger } = options
   const records = new Map<string, CallerKeyRecord>()
-  const stopped = createListeners<[string]>()
+  const keyInvalidated = createListeners<[string]>()
   const withdrawals = createWithdrawals(peers)
-  withdrawals.onNoted(stopped.emit)
+  withdrawals.onRecorded(keyInvalidated.emit)
 
-  const take = (entry: { key: string, value: string }): void => {
+  const applyEntry = (entry: { key: string, value: string }): void => {
     const record = parseKeyRecord(entry.value)
-    const isItsKey = record !== undefined && KEY_RECORDS_PREFIX + record.id === entry.key
+    const isValid = record !== undefined && KEY_RECORDS_PREFIX + record.id === entry.key
     // What is known of the key stays in force: a damaged record neither lets anybody in nor shuts anybody out.
-    if (!isItsKey) return logger.error('key-record-refused', { key: entry.key, reason: 'not a key record' })
+    if (!isValid) return logger.error('key-record-refused', { key: entry.key, reason: 'not a key record' })
     records.set(record.id, record)
-    if (record.withdrawnAtMs !== undefined) withdrawals.note({ keyId: record.id, atMs: record.withdrawnAtMs })
+    if (record.withdrawnAtMs !== undefined) withdrawals.record({ keyId: record.id, atMs: record.withdrawnAtMs })
   }
-  const drop = (keyId: string): void => {
-    if (records.delete(keyId)) stopped.emit(keyId)
+  const dropKey = (keyId: string): void => {
+    if (records.delete(keyId)) keyInvalidated.emit(keyId)
   }
-  const takeAll = (snapshot: RangeResult): void => {
+  const applySnapshot = (snapshot: RangeResult): void => {
     const present = new Set(snapshot.entries.map(entry => entry.key))
-    snapshot.entries.forEach(take)
-    const gone = [...records.keys()].filter(keyId => !present.has(KEY_RECORDS_PREFIX + keyId))
-    gone.forEach(drop)
-    contact.noteHeard()
+    snapshot.entries.forEach(applyEntry)
+    const removed = [...records.keys()].filter(keyId => !present.has(KEY_RECORDS_PREFIX + keyId))
+    removed.forEach(dropKey)
+    freshness.recordSync()
   }
   const readStore = async (): Promise<boolean> => {
     const range = await store.range(KEY_RECORDS_PREFIX, { priority: 'config' })
-    if (range.ok) takeAll(range.val)
+    if (range.ok) applySnapshot(range.val)
     return range.ok
   }
-  const contact = createContact({ peers, clock, syncWith: withdrawals.syncWith, readStore })
+  const freshness = createWithdrawalFreshness({ peers, clock, syncWith: withdrawals.syncWith, readStore })
 
   return {
     authenticate: authorization => {
       if (authorization === undefined) return Err(createRefusal('missing_key', 'Send your key as `Authorization: Bearer <key>`.'))
-      if (!contact.isRecent()) return Err(createRefusal('store_unavailable', 'This instance cannot check keys just now. Use another one.', RETRY_ELSEWHERE_S))
+      if (!freshness.isRecent()) return Err(createRefusal('store_unavailable', 'This instance cannot check keys just now. Use another one.', RETRY_ELSEWHERE_S))
       const parts = splitKey(BEARER.exec(authorization)?.[1] ?? '')
       const record = parts === undefined ? undefined : records.get(parts.id)
       if (parts === undefined || record === undefined || !secretMatches(record, parts.secret)) {
@@ -87,16 +87,16 @@
       return Ok({ team: record.team, keyId: record.id })
     },
     withdraw: withdrawals.announce,
-    onWithdrawn: stopped.add,
+    onWithdrawn: keyInvalidated.add,
     start: signal => {
       store.watch(KEY_RECORDS_PREFIX, {
-        onSnapshot: takeAll,
+        onSnapshot: applySnapshot,
         onEvent: event => {
-          if (event.kind === 'put') take(event)
-          else drop(event.key.slice(KEY_RECORDS_PREFIX.length))
+          if (event.kind === 'put') applyEntry(event)
+          else dropKey(event.key.slice(KEY_RECORDS_PREFIX.length))
         }
       }, signal)
-      contact.start(signal)
+      freshness.start(signal)
       persistWithdrawals({ store, peers, withdrawals, recordOf: keyId => records.get(keyId), clock, logger }, signal)
     }
   }
--- a/packages/magnoliabay/src/node/admission/keys.ts
+++ b/packages/magnoliabay/src/node/admission/keys.ts
@@ -11,7 +11,7 @@
 /** Bytes of a key's public id and of its secret. */
 const ID_BYTES = 6
 const SECRET_BYTES = 24
-const KEY_FORM = /^mb_([A-Za-z0-9]+)_([A-Za-z0-9_-]+)$/
+const KEY_PATTERN = /^mb_([A-Za-z0-9]+)_([A-Za-z0-9_-]+)$/
 
 const keySchema = v.object({
   id: v.pipe(v.string(), v.regex(/^[A-Za-z0-9]+$/)),
@@ -49,7 +49,7 @@
 }
 
 export function splitKey (key: string): KeyParts | undefined {
-  const match = KEY_FORM.exec(key)
+  const match = KEY_PATTERN.exec(key)
   if (match === null) return undefined
   return { id: match[1]!, secret: match[2]! }
 }
--- a/packages/magnoliabay/src/node/admission/persistWithdrawals.ts
+++ b/packages/magnoliabay/src/node/admission/persistWithdrawals.ts
@@ -12,7 +12,7 @@
 import type { CallerKeyRecord } from './keys'
 import type { Withdrawals } from './withdrawals'
 
-const PERSIST_PERIOD_MS = 2000
+const PERSIST_INTERVAL_MS = 2000
 
 export interface PersistOptions {
   store: Store
@@ -26,13 +26,13 @@
 
 export function persistWithdrawals (options: PersistOptions, signal: AbortSignal): void {
   const { store, peers, withdrawals, recordOf, clock, logger } = options
-  const waitedTurns = new Map<string, number>()
+  const waitedRounds = new Map<string, number>()
 
   const isUnwritten = (keyId: string): boolean => recordOf(keyId)?.withdrawnAtMs === undefined && recordOf(keyId) !== undefined
   /** Members take turns, so that a fleet that wakes with the store doesn't write each key as often as it has members. */
   const isMyTurn = (keyId: string): boolean => {
-    const waited = waitedTurns.get(keyId) ?? 0
-    waitedTurns.set(keyId, waited + 1)
+    const waited = waitedRounds.get(keyId) ?? 0
+    waitedRounds.set(keyId, waited + 1)
     const ranked = rankByRendezvous(keyId, peers.members(), member => member.id)
     return ranked[waited % ranked.length]?.id === peers.self.id
   }
@@ -47,7 +47,7 @@
     }, { priority: 'config' })
     if (written.ok && written.val.succeeded) logger.info('withdrawal-written', { key: keyId, reason: 'known to peers only' })
   }
-  repeat(clock, PERSIST_PERIOD_MS, signal, async () => {
+  repeat(clock, PERSIST_INTERVAL_MS, signal, async () => {
     const unwritten = withdrawals.all().filter(({ keyId }) => isUnwritten(keyId))
     const mine = unwritten.filter(({ keyId }) => isMyTurn(keyId))
     await Promise.all(mine.map(({ keyId, atMs }) => write(keyId, atMs)))
--- a/packages/magnoliabay/src/node/admission/withdrawals.ts
+++ b/packages/magnoliabay/src/node/admission/withdrawals.ts
@@ -34,26 +34,26 @@
   has (keyId: string): boolean
   all (): readonly Withdrawal[]
   /** Notes a withdrawal that the store holds, or that came from a peer. */
-  note (withdrawal: Withdrawal): void
+  record (withdrawal: Withdrawal): void
   /** Notes a withdrawal made here, and tells every peer at once. */
   announce (withdrawal: Withdrawal): void
   /** Gets from a peer what is missing here. False when the peer doesn't answer. */
   syncWith (memberId: string): Promise<boolean>
   /** Called once for each key that is withdrawn. */
-  onNoted (listener: (keyId: string) => void): Disposer
+  onRecorded (listener: (keyId: string) => void): Disposer
 }
 
 export function createWithdrawals (peers: Peers): Withdrawals {
   const known = new Map<string, Withdrawal>()
-  const noted = createListeners<[string]>()
-  let sum = 0
+  const recorded = createListeners<[string]>()
+  let keyHashSum = 0
 
-  const digest = (): string => `${known.size}:${sum}`
+  const digest = (): string => `${known.size}:${keyHashSum}`
   const note = (withdrawal: Withdrawal): void => {
     if (known.has(withdrawal.keyId)) return
     known.set(withdrawal.keyId, withdrawal)
-    sum = (sum + stableHash(withdrawal.keyId)) % DIGEST_RANGE
-    noted.emit(withdrawal.keyId)
+    keyHashSum = (keyHashSum + stableHash(withdrawal.keyId)) % DIGEST_RANGE
+    recorded.emit(withdrawal.keyId)
   }
   const syncWith = async (memberId: string): Promise<boolean> => {
     const reply = await peers.call(memberId, syncCall, { digest: digest() }, { timeoutMs: SYNC_TIMEOUT_MS })
@@ -67,7 +67,7 @@
   peers.onConnected(member => { syncWith(member.id) })
 
   return {
-    note,
+    record: note,
     syncWith,
     has: keyId => known.has(keyId),
     all: () => [...known.values()],
@@ -75,6 +75,6 @@
       note(withdrawal)
       peers.notifyAll(keyWithdrawn, withdrawal)
     },
-    onNoted: noted.add
+    onRecorded: recorded.add
   }
 }
