--- a/packages/magnoliabay/src/node/members/byteQueue.ts
+++ b/packages/magnoliabay/src/node/members/byteQueue.ts
@@ -1,12 +1,12 @@
 /**
- * Bytes that came in pieces and are taken in other pieces. Each byte is copied at most once: joining
- * all that is there on every arrival takes quadratic time for a large frame in small packets.
+ * Queue of bytes that arrive in chunks and are taken in other sizes. Each byte is copied at most once: joining all
+ * chunks on every arrival takes quadratic time for a large frame in small packets.
  */
 export interface ByteQueue {
   push (chunk: Buffer): void
-  /** Bytes there. */
+  /** Number of bytes in the queue. */
   size (): number
-  /** Takes the first `count` bytes, which must be there. */
+  /** Removes and returns the first `count` bytes, which must be in the queue. */
   take (count: number): Buffer
 }
 
--- a/packages/magnoliabay/src/node/members/dialer.ts
+++ b/packages/magnoliabay/src/node/members/dialer.ts
@@ -1,4 +1,4 @@
-/** Keeps dialling the members that this one has to dial, and stops when it has not. */
+/** Dials the members that this one has to connect to, again after each failure, until they are no longer targets. */
 import type { Socket } from 'node:net'
 import { sleep } from '../clock'
 import type { Clock } from '../clock'
@@ -10,11 +10,11 @@
 const DIAL_TIMEOUT_MS = 2000
 
 export interface Dialer {
-  /** Dials these from now on, and no others. */
+  /** Dials these members from now on, and no others. */
   setTargets (members: readonly MemberRecord[]): void
   /** Dials once; resolves when the connection has ended. */
   dialOnce (member: Pick<MemberRecord, 'peerAddress'>): Promise<void>
-  /** Dials no more. Links that stand are left open. */
+  /** Stops dialling. Established links stay open. */
   close (): void
 }
 
@@ -34,8 +34,8 @@
     const { host, port } = parseHostPort(member.peerAddress)
     const socket = options.transport.dial({ host, port, timeout: DIAL_TIMEOUT_MS })
     socket.on('timeout', () => { if (socket.connecting) socket.destroy() })
-    // Taken off again after each run: a peer that is down for long would otherwise leave a dead socket for every dial.
-    // At the end of the process a link that stands is left to say goodbye: that is the proof others wait for.
+    // Removed after each run: a peer that is down for long would otherwise leave a closed socket for every dial. When
+    // the process ends, an established link stays open to send its goodbye, which is the proof that others wait for.
     const onAbort = (): void => { if (!isClosing || socket.connecting) socket.destroy() }
     signal.addEventListener('abort', onAbort, { once: true })
     await options.runLink(socket)
--- a/packages/magnoliabay/src/node/members/dispatch.ts
+++ b/packages/magnoliabay/src/node/members/dispatch.ts
@@ -1,4 +1,4 @@
-/** Handlers of calls and notices by kind, and listeners; shared by every carrier of {@link Peers}. */
+/** Handlers of calls and notices by kind, and listeners; shared by every implementation of {@link Peers}. */
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { messageOf } from '../utils'
--- a/packages/magnoliabay/src/node/members/frames.ts
+++ b/packages/magnoliabay/src/node/members/frames.ts
@@ -15,7 +15,7 @@
   | { type: 'goodbye' }
 
 const LENGTH_BYTES = 4
-/** Above any message of ours (a configuration of 1 MB), so that a damaged length can't exhaust memory. */
+/** Larger than any message, such as a configuration of 1 MB, so that a damaged length can't exhaust memory. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024
 
 const encoder = new Encoder({ useRecords: false, mapsAsObjects: true })
@@ -50,7 +50,10 @@
 const isMember = (value: unknown): boolean =>
   isFields(value) && Object.entries(MEMBER_FIELDS).every(([name, type]) => typeOf(value[name]) === type)
 
-/** What each type of frame must hold, so that nothing behind {@link decodeFrame} meets a wrong type. Bodies are the handlers' to check. */
+/**
+ * Checks of the fields of each frame type, so that code after {@link decodeFrame} can rely on their types. Handlers
+ * check the bodies.
+ */
 const FRAME_CHECKS: Readonly<Record<Frame['type'], (fields: Fields) => boolean>> = {
   hello: fields => isMember(fields.member),
   beat: () => true,
@@ -60,7 +63,7 @@
   goodbye: () => true
 }
 
-/** Throws a {@link FrameError} of kind `too-long` for a frame that the peer would not take. */
+/** Throws a {@link FrameError} of kind `too-long` for a frame that the peer would not accept. */
 export function encodeFrame (frame: Frame): Buffer {
   const payload = encoder.encode(frame)
   if (payload.length > MAX_FRAME_BYTES) throw new FrameError('too-long')
@@ -69,7 +72,7 @@
   return Buffer.concat([header, payload])
 }
 
-/** Throws a {@link FrameError} on anything but a frame. */
+/** Throws a {@link FrameError} if the payload is not a valid frame. */
 export function decodeFrame (payload: Buffer): Frame {
   const value = decodePayload(payload)
   if (!isFields(value) || typeof value.type !== 'string') throw new FrameError('not-a-frame')
@@ -86,7 +89,7 @@
   }
 }
 
-/** Yields the frames of a connection until its end. Throws {@link FrameError} on a bad one. */
+/** Yields the frames of a connection until its end. Throws {@link FrameError} on an invalid one. */
 export async function * readFrames (socket: Readable): AsyncGenerator<Frame> {
   const received = createByteQueue()
   let payloadLength: number | undefined
--- a/packages/magnoliabay/src/node/members/gossip.ts
+++ b/packages/magnoliabay/src/node/members/gossip.ts
@@ -1,13 +1,13 @@
 /**
- * Notices to everybody where not everybody holds a link to everybody: each member hands a notice on to its
- * neighbours the first time that it sees it. A notice reaches all as long as the links that stand connect them,
- * whichever single member or link is lost on the way.
+ * Distributes notices where not every member holds a link to every other: each member forwards a notice to its
+ * neighbours the first time that it receives it. A notice reaches all members as long as the remaining links connect
+ * them, whichever single member or link is lost.
  */
 import type { Clock } from '../clock'
 import type { MemberRecord } from './record'
 
 export interface GossipMessage {
-  /** Unique over the fleet. */
+  /** Unique in the fleet. */
   id: string
   origin: MemberRecord
   kind: string
@@ -17,13 +17,16 @@
 export const GOSSIP_KIND = 'members.gossip'
 
 export interface Gossip {
-  /** A notice of this member's own, to be handed to all neighbours. */
+  /** Wraps a notice of this member, to be sent to all neighbours. */
   wrap (origin: MemberRecord, kind: string, body: unknown): GossipMessage
-  /** True the first time that a message is seen. */
+  /** Returns true the first time that a message is received. */
   isNew (message: GossipMessage): boolean
 }
 
-/** Far longer than a notice takes to go round; a copy later than that would be handled again, which is harmless. */
+/**
+ * Far longer than a notice takes to reach all members. A copy that arrives later would be handled again, which is
+ * harmless.
+ */
 const SEEN_RETENTION_MS = 60_000
 
 export function createGossip (clock: Clock): Gossip {
--- a/packages/magnoliabay/src/node/members/link.ts
+++ b/packages/magnoliabay/src/node/members/link.ts
@@ -1,5 +1,5 @@
 /**
- * One TCP link to a peer, from hello to end: calls out and in, notices, heartbeats both ways.
+ * One TCP link to a peer, from hello to end: calls and notices in both directions, and heartbeats.
  */
 import type { Socket } from 'node:net'
 import type { Clock } from '../clock'
@@ -14,23 +14,23 @@
 import type { PeerCallOptions, PeerError } from './peers'
 import type { MemberRecord } from './record'
 
-/** How often a side that watches over a link says that it is there, in milliseconds. */
+/** Interval of heartbeats on a monitored link. */
 export const HEARTBEAT_INTERVAL_MS = 1000
 /**
- * A link that brought nothing for this long is cut and dialled anew. A connection that something
- * between the two ends has lost track of stays open and silent for good: calls on it would time out
- * one after another. Three missed beats tell it from a short pause, and a new connection works.
+ * A link on which nothing arrives for this long is closed and dialled again. A connection that a device between the two
+ * ends has lost track of stays open and silent for good: calls on it would time out one after another, while a new connection
+ * works. Three missed heartbeats distinguish it from a short pause.
  */
 export const SILENCE_TIMEOUT_MS = 3500
 /**
- * A link that is not kept is watched over for this long after a notice, milliseconds. One made for a call now and then
- * is not: a member that counts for a team holds one to each of hundreds, and all would beat for nothing.
+ * A link that is not permanent is monitored for this long after a notice. A link made for occasional calls is not: the
+ * home member of a team holds one to each of hundreds of members, and all would send needless heartbeats.
  */
 const MONITORED_AFTER_NOTICE_MS = 5000
-/** On a link that is not watched over, a peer that left a call unanswered is to answer a beat by then, milliseconds. */
+/** On a link that is not monitored, a peer that left a call unanswered has to answer a heartbeat within this time. */
 const PROBE_TIMEOUT_MS = 1000
 const DEFAULT_CALL_TIMEOUT_MS = 1000
-/** A peer that reads more slowly than this is behind by so much that the link is cut. */
+/** A link with more unsent bytes than this is closed: the peer reads too slowly. */
 const MAX_UNSENT_BYTES = 16 * 1024 * 1024
 
 interface PendingCall {
@@ -41,10 +41,10 @@
   readonly member: MemberRecord
   call (kind: string, body: unknown, options?: PeerCallOptions): Promise<Result<unknown, PeerError>>
   notify (kind: string, body: unknown): void
-  /** Sends a frame that was encoded before, for many links at once. */
+  /** Sends an already encoded frame, so that several links share one encoding. */
   sendEncoded (frame: Buffer): void
   close (reason: string): void
-  /** Says goodbye first: proof to the peer that this process ends by its own will. */
+  /** Sends a goodbye and closes: proof to the peer that this process ends intentionally. */
   goodbye (): void
 }
 
@@ -52,20 +52,20 @@
   socket: Socket
   self: MemberRecord
   clock: Clock
-  /** Beats once in {@link HEARTBEAT_INTERVAL_MS}, for all links of a process. */
+  /** Ticks every {@link HEARTBEAT_INTERVAL_MS}, for all links of a process. */
   ticker: Ticker
   logger: Logger
   dispatch: Dispatch
-  /** Whether the link to a member is kept for its own sake, and so watched over all the time. */
+  /** Whether the link to a member is permanent, and so always monitored. */
   isPermanent: (member: MemberRecord) => boolean
-  /** Called with each frame that comes in: with its kind, or with its type where it has none. */
+  /** Called with the kind of each received frame, or with its type if it has no kind. */
   onFrame?: (kind: string) => void
-  /** The peer has said hello. Answer false to refuse it. */
+  /** Called when the peer has sent its hello. Returns false to refuse the link. */
   onHello: (link: Link) => boolean
   onGoodbye: (member: MemberRecord) => void
 }
 
-/** Runs a link until it ends and tells why. Never rejects. */
+/** Runs a link until it ends and resolves to the reason. Never rejects. */
 export async function runLink (linkOptions: LinkOptions): Promise<string> {
   const { socket, clock, logger } = linkOptions
   const pending = new Map<number, PendingCall>()
@@ -79,7 +79,7 @@
 
   const extendMonitoring = (): void => { monitoredUntilMs = clock.monotonic() + MONITORED_AFTER_NOTICE_MS }
   const isMonitored = (): boolean => clock.monotonic() < monitoredUntilMs || member === undefined || linkOptions.isPermanent(member)
-  /** Such a link may have fallen silent long ago: the call after this one is to find a new one. */
+  /** Checks an unmonitored link, which may have been silent for long, so that the next call dials a new one. */
   const probe = (): void => {
     if (isMonitored()) return
     const probedMs = clock.monotonic()
@@ -87,8 +87,8 @@
     clock.schedule(PROBE_TIMEOUT_MS, () => { if (lastReceivedMs < probedMs) close('silent') })
   }
   /**
-   * Tells what hindered it. A frame that is too long for the peer is not sent: the peer would cut the
-   * link, the caller would try again on the next one, and every other call would be lost with it.
+   * Returns an error if the frame is not sent. A frame that is too long for the peer is not sent: the peer would close
+   * the link, the caller would try again on the next one, and every other call would be lost with it.
    */
   const send = (frame: Frame): PeerError | undefined => {
     if (!socket.writable) return { kind: 'not-connected', message: 'The link to the peer has ended.' }
@@ -132,7 +132,7 @@
       extendMonitoring()
       const sendError = send({ type: 'notice', kind, body })
       if (sendError === undefined) return
-      // On a link that has ended nothing is amiss: its end has an event of its own.
+      // A link that has ended is no fault of the notice: the end is logged as an event of its own.
       const log = sendError.kind === 'not-connected' ? logger.debug : logger.warn
       log('peer-notice-not-sent', { peer: peer.id, kind, reason: sendError.message })
     },
@@ -153,7 +153,7 @@
     const tooLarge: PeerError = { kind: 'handler-failed', message: 'The answer is too large for a frame.' }
     send({ type: 'reply', id: frame.id, ok: false, body: tooLarge })
   }
-  /** A handler that fails on what a peer sent must not end the link: each new one would end the same way. */
+  /** An error in a handler must not end the link: each new link would end the same way. */
   const handleNotice = (frame: Extract<Frame, { type: 'notice' }>, from: MemberRecord): void => {
     try {
       linkOptions.dispatch.handleNotice(frame.kind, frame.body, from)
@@ -163,7 +163,7 @@
   }
   const handlers: { [Type in Frame['type']]: (frame: Extract<Frame, { type: Type }>, from: MemberRecord) => void } = {
     hello: () => {},
-    // Whoever beats goes by what it hears; on a link that is kept both sides beat.
+    // A side that monitors the link relies on what it receives; on a permanent link both sides send heartbeats.
     beat: () => { if (!isMonitored()) send({ type: 'beat' }) },
     call: (frame, from) => { answerCall(frame, from) },
     reply: frame => pending.get(frame.id)?.settle(frame.ok ? Ok(frame.body) : Err(frame.body as PeerError)),
@@ -178,9 +178,9 @@
     const wasMonitoring = isMonitoring
     isMonitoring = isMonitored()
     if (!isMonitoring) return
-    // Nothing was to be heard before.
+    // No heartbeats were expected before.
     if (!wasMonitoring) lastReceivedMs = clock.monotonic()
-    // Whatever was sent lately says as much, and a beat of its own would wake the peer once more.
+    // A frame sent recently serves as a heartbeat; another would wake the peer once more.
     if (clock.monotonic() - lastSentMs >= HEARTBEAT_INTERVAL_MS / 2) send({ type: 'beat' })
     if (clock.monotonic() - lastReceivedMs > SILENCE_TIMEOUT_MS) close('silent')
   })
--- a/packages/magnoliabay/src/node/members/membership.ts
+++ b/packages/magnoliabay/src/node/members/membership.ts
@@ -11,11 +11,13 @@
 import type { MemberRecord } from './record'
 import { parseJson, stableHash } from '../utils'
 
-/** Seconds after which the store drops what hangs on a lease that nobody renews. */
+/** Seconds after which the store deletes the keys of a lease that is not renewed. */
 const LEASE_TTL_SECONDS = 10
 const RENEW_INTERVAL_MS = 3000
 
-/** How long a member without a record and without a link that would tell counts as there. */
+/**
+ * How long a member counts as running whose record has lapsed and to which no link is maintained that would show it.
+ */
 const LAPSED_RECORD_RETENTION_MS = 15_000
 
 interface LapsedRecord {
@@ -31,35 +33,35 @@
   logger: Logger
 }
 
-/** What changed among the members since it was last asked. */
+/** Changes of the members since the previous call of {@link MemberList.takeChanges}. */
 export interface MemberChanges {
   put: readonly MemberRecord[]
   gone: readonly string[]
 }
 
-/** The members' records as an instance that watches the store knows them, for others to follow. */
+/** The members' records as known to an instance that watches the store; other instances follow this list. */
 export interface MemberList {
   records (): readonly MemberRecord[]
   /** The same for two instances exactly when both know the same records. */
   digest (): string
-  /** Takes over the whole list of a peer. */
+  /** Replaces the records by the whole list of a peer. */
   replaceAll (list: readonly MemberRecord[]): void
-  /** Takes over what changed in a peer's list. */
+  /** Applies the changes of a peer's list. */
   applyChanges (changes: MemberChanges): void
   takeChanges (): MemberChanges | undefined
   onChanged (listener: () => void): void
 }
 
 export interface Membership extends MemberList {
-  /** The process's one lease, or undefined while none stands. */
+  /** The only lease of the process, or undefined while it has none. */
   leaseId (): string | undefined
-  /** Whether the store holds the record of this very process, as far as is known here. */
+  /** Whether the store holds the record of this process, as far as is known. */
   isRegistered (incarnation: string): boolean
   /** Registers and keeps registering until `signal` aborts. */
   start (signal: AbortSignal): void
-  /** Tells everybody that no new callers should come here. */
+  /** Marks this instance as leaving, so that no new callers are sent to it. */
   announceLeaving (): Promise<void>
-  /** Gives the lease back, and with it the record. */
+  /** Revokes the lease, which deletes the record. */
   deregister (): Promise<void>
 }
 
@@ -67,7 +69,7 @@
   const { store, network, clock, logger } = options
   const self = network.self
   const records = new Map<string, MemberRecord>()
-  /** Records that are gone from the store, of members that may be there all the same. */
+  /** Records that are missing from the store, of members that may still be running. */
   const lapsed = new Map<string, LapsedRecord>()
   const changed = createListeners<[]>()
   const changedIds = new Set<string>()
@@ -96,8 +98,8 @@
     await register()
   }
   /**
-   * After a long outage of the store all leases have lapsed, and every record vanishes at once until each member
-   * has registered anew. Members whose links stand stay, so that nobody cuts the links that everything runs over.
+   * After a long outage of the store all leases have lapsed, and all records disappear until each member has registered
+   * again. Members with a link stay members, so that no instance closes the links that all peer traffic uses.
    */
   const isPresumedRunning = ({ record, sinceMs }: LapsedRecord): boolean => {
     const linkState = network.linkStateOf(record.id)
@@ -121,7 +123,7 @@
     if (!record.leaving) lapsed.set(id, { record, sinceMs: clock.monotonic() })
   }
   const applyEntry = (entry: Pick<KeyValue, 'key' | 'value'>): void => {
-    // A damaged record must not cost the rest of a snapshot.
+    // A damaged record must not keep the rest of a snapshot from being applied.
     const record = parseJson(entry.value) as MemberRecord | undefined
     if (record?.id === undefined) return logger.warn('member-record-refused', { key: entry.key })
     updateRecord(record)
@@ -132,7 +134,7 @@
     records.set(record.id, record)
     markChanged(record.id)
   }
-  /** A list that is whole: who is not in it is gone. */
+  /** Drops the records that a complete list does not contain. */
   const dropMissing = (ids: ReadonlySet<string>): void => {
     const missing = [...records.keys()].filter(id => !ids.has(id))
     missing.forEach(dropRecord)
@@ -190,7 +192,7 @@
   }
 }
 
-/** What of a record others go by. */
+/** The fields of a record whose changes matter to other members. */
 function identityOf ({ id, incarnation, leaving }: MemberRecord): string {
   return `${id} ${incarnation} ${leaving}`
 }
--- a/packages/magnoliabay/src/node/members/memoryNetwork.ts
+++ b/packages/magnoliabay/src/node/members/memoryNetwork.ts
@@ -1,6 +1,6 @@
 /**
- * {@link Peers} in memory, for tests and benches in virtual time: every message takes a delay, and a
- * `fate` decides what becomes of it.
+ * Implements {@link Peers} in memory, for tests and benchmarks in virtual time. Every message is delayed; a policy
+ * decides whether it is lost or duplicated.
  */
 import type { Clock } from '../clock'
 import { Err, Ok } from '../result'
@@ -20,7 +20,7 @@
   body: unknown
 }
 
-/** Delays in milliseconds at which copies arrive: none means lost, two mean doubled. */
+/** Returns the delays in milliseconds after which copies arrive: none means lost, two mean duplicated. */
 export type DeliveryPolicy = (message: Message) => readonly number[]
 
 export interface MemoryNetworkOptions {
@@ -31,14 +31,14 @@
 
 export interface MemoryNetwork {
   join (member: MemberRecord): Peers
-  /** The member's process is gone: nothing reaches it or comes from it any more. */
+  /** Ends the member's process: it neither receives nor sends any more. */
   kill (memberId: string): void
-  /** Whether the member's record stands in the store: without it, others don't count it among the members. */
+  /** Sets whether the store holds the member's record; without it, others don't count it among the members. */
   setRegistered (memberId: string, isRegistered: boolean): void
   /** Messages between the two are lost until `heal`. */
   partition (one: string, other: string): void
   heal (one: string, other: string): void
-  /** Replaces what decides about messages. */
+  /** Replaces the delivery policy. */
   setDeliveryPolicy (deliveryPolicy: DeliveryPolicy): void
 }
 
@@ -62,7 +62,7 @@
   const pairOf = (one: string, other: string): string => [one, other].sort().join(' ')
   const isConnected = (from: string, to: string): boolean => from === to || (nodes.has(to) && !partitions.has(pairOf(from, to)))
   const records = (): MemberRecord[] => [...nodes.values()].map(node => node.member).filter(member => !unregistered.has(member.id)).sort((left, right) => left.id < right.id ? -1 : 1)
-  /** Bodies are copied, as they would be on a wire. */
+  /** Copies bodies, as a network would. */
   const transmit = (message: Message, sender: Node, deliver: (receiver: Node, body: unknown) => void): void => {
     if (!isConnected(message.from, message.to)) return
     deliveryPolicy(message).forEach(delayMs => clock.schedule(delayMs, () => {
--- a/packages/magnoliabay/src/node/members/neighbours.ts
+++ b/packages/magnoliabay/src/node/members/neighbours.ts
@@ -1,32 +1,33 @@
 /**
- * Which members hold links to one another. Up to {@link MAX_FULL_MESH_MEMBERS} all do. Beyond, each keeps a bounded number,
- * worked out by everybody alike from the list of members: a ring in hashed order, which holds the fleet together,
- * and partners far away on it, which keep every member within a few hops. Neighbourhood is mutual, and each member
- * works out its own alone: at each change of members all would else go through all pairs.
+ * Determines which members hold links to one another. Up to {@link MAX_FULL_MESH_MEMBERS} all do. In a larger fleet
+ * each holds a bounded number, which every member derives alike from the list of members: a ring in hash order, which
+ * connects the fleet, and distant partners on it, which keep every member within a few hops. Neighbourhood is mutual.
+ * Each member computes only its own neighbours: otherwise each would go through all pairs at every change of the
+ * members.
  */
 import { stableHash } from '../utils'
 
-/** With more members than this, heartbeats and copies of notices would cost more than control may spend. */
+/** With more members than this, heartbeats and copies of notices would exceed the budget of control traffic. */
 export const MAX_FULL_MESH_MEMBERS = 16
-/** Next members on the ring, on each side. */
+/** Adjacent members on the ring, on each side. */
 const RING_NEIGHBOURS_PER_SIDE = 2
-/** Partners far away, on average between this and twice as many. */
+/** Distant partners of a member, on average between this and twice as many. */
 const MIN_MEAN_PARTNERS = 2
-/** {@link mix} gives each number below this alike. */
+/** {@link mix} is uniformly distributed below this. */
 const MIX_RANGE = 2 ** 32
 
 export interface RingPosition {
   id: string
-  /** Where it stands on the ring. */
+  /** Position on the ring. */
   hash: number
 }
 
-/** Members in the order of the ring. */
+/** Returns the members in the order of the ring. */
 export function orderOnRing (ids: readonly string[]): readonly RingPosition[] {
   return ids.map(id => ({ id, hash: hashOf(id) })).sort((left, right) => left.hash - right.hash)
 }
 
-/** The neighbours of one of the members. */
+/** Returns the neighbours of one of the members. */
 export function neighboursOf (id: string, ring: readonly RingPosition[]): ReadonlySet<string> {
   const index = ring.findIndex(place => place.id === id)
   const ownPosition = ring[index]
@@ -41,14 +42,17 @@
 }
 
 /**
- * Pairs whose hash is below are partners. It halves where the number of members doubles, so that one that comes or goes
- * changes only its own partners.
+ * Returns the limit below which the mixed hash of a pair makes it partners. It halves where the number of members
+ * doubles, so that a member that joins or leaves changes only its own partners.
  */
 function partnerThreshold (count: number): number {
   return MIX_RANGE * MIN_MEAN_PARTNERS / 2 ** Math.floor(Math.log2(count))
 }
 
-/** By id. Members are the same at nearly every change of them, and a cryptographic hash of each would take longest. */
+/**
+ * Hashes by id. Nearly all members stay the same at each change, and computing a cryptographic hash of each would take
+ * the most time.
+ */
 const hashCache = new Map<string, number>()
 const MAX_CACHED_HASHES = 10_000
 
@@ -61,7 +65,7 @@
   return hash
 }
 
-/** Mixes two hashes in a few instructions, the same in either order. */
+/** Mixes two hashes in a few instructions; their order does not matter. */
 function mix (one: number, other: number): number {
   let bits = Math.imul((one ^ other) ^ 0x9e3779b9, 0x85ebca6b) ^ Math.imul((one + other) | 0, 0xc2b2ae35)
   bits = Math.imul(bits ^ (bits >>> 15), 0x2c1b3c6d)
--- a/packages/magnoliabay/src/node/members/network.ts
+++ b/packages/magnoliabay/src/node/members/network.ts
@@ -1,6 +1,6 @@
 /**
- * Links to peers over TCP. Few members all hold links to one another; many hold links to their neighbours, and dial
- * others while they have something to say to them. Of two neighbours, the one with the lesser id dials.
+ * Links to peers over TCP. In a small fleet all members hold links to one another; in a large one each holds links to
+ * its neighbours, and dials other members on demand. Of two neighbours, the one with the lesser id dials.
  */
 import type { Socket } from 'node:net'
 import type { Clock } from '../clock'
@@ -22,11 +22,11 @@
 import { TCP_TRANSPORT } from './transport'
 import type { PeerTransport } from './transport'
 
-/** A link outside the neighbourhood that has said nothing of ours for this long is closed. */
+/** A link to a non-neighbour that this member has not used for this long is closed. */
 const IDLE_LINK_TIMEOUT_MS = 60_000
-/** A link that another has replaced stays for the calls under way on it. */
+/** A replaced link stays open for this long, for the calls in flight on it. */
 const REPLACED_LINK_LINGER_MS = 5000
-/** A member that could not be dialled counts as out of reach for this long. */
+/** A member that could not be dialled counts as unreachable for this long. */
 const UNREACHABLE_RETENTION_MS = 5000
 
 export interface PeerNetworkOptions {
@@ -35,24 +35,24 @@
   logger: Logger
   /** @default TCP in plain text */
   transport?: PeerTransport
-  /** Called with each frame that comes in: with its kind, or with its type where it has none. */
+  /** Called with the kind of each received frame, or with its type if it has no kind. */
   onFrame?: (kind: string) => void
-  /** A peer said that its process ends. */
+  /** Called when a peer has said goodbye: its process ends. */
   onGoodbye?: (member: MemberRecord) => void
 }
 
 export interface PeerNetwork extends Peers {
-  /** Replaces the known members; links to those gone are closed, links to new neighbours are dialled. */
+  /** Replaces the known members; links to removed members are closed, links to new neighbours are dialled. */
   setMembers (records: readonly MemberRecord[]): void
-  /** What speaks for a member being there: a link, or the lack of one where one is kept. */
+  /** State of the link to a member, as evidence of whether the member is running. */
   linkStateOf (memberId: string): LinkState
-  /** Dials an address without knowing who is there, once; resolves when that link has ended. */
+  /** Dials an address once, without knowing which member it is; resolves when that link has ended. */
   connectOnce (peerAddress: string): Promise<void>
   start (): Promise<void>
   close (): Promise<void>
 }
 
-/** `none`: not a neighbour, so no link is kept and its lack says nothing. */
+/** `none`: not a neighbour, so no link is maintained and the lack of one proves nothing. */
 export type LinkState = 'linked' | 'unlinked' | 'none'
 
 interface OpenLink {
@@ -68,7 +68,7 @@
   const changed = createListeners<[]>()
   const connected = createListeners<[MemberRecord]>()
   const links = new Map<string, OpenLink>()
-  /** Replaced, and open for what is still under way on them. */
+  /** Replaced links that stay open for the calls in flight on them. */
   const lingering = new Set<Link>()
   const dialFailedAtMs = new Map<string, number>()
   const pendingDials = new Map<string, Promise<Link | undefined>>()
@@ -77,8 +77,9 @@
   let neighbours: ReadonlySet<string> = new Set()
 
   /**
-   * Two members may dial each other at once. Each would close one of the two links, perhaps not the same one, and
-   * lose both. So both keep the one that the lesser id dialled, and the other is closed once its calls have ended.
+   * Two members may dial each other at the same time. If each closed one of the two links, perhaps not the same one,
+   * both could be lost. So both keep the one that the lesser id dialled, and close the other later, when its calls have
+   * ended.
    */
   const isDuplicate = (memberId: string, isDialledHere: boolean): boolean => {
     const existing = links.get(memberId)
@@ -128,7 +129,7 @@
   }
   const dialer = createDialer({ transport, clock, runLink: socket => runSocket(socket, true) })
 
-  /** Waits until the dialled link stands, or has failed. */
+  /** Resolves when the dialled link is established or has failed. */
   const dial = (member: MemberRecord): Promise<Link | undefined> => new Promise(resolve => {
     const settle = (): void => {
       dispose()
@@ -147,7 +148,7 @@
       return openLink.link
     }
     const member = knownMembers.find(candidate => candidate.id === memberId)
-    // Neighbours are dialled all the time; a further dial would only race with that.
+    // Neighbours are dialled anyway; a further dial would only race with that.
     if (member === undefined || neighbours.has(memberId)) return undefined
     const pendingDial = pendingDials.get(memberId) ?? dial(member)
     pendingDials.set(memberId, pendingDial)
--- a/packages/magnoliabay/src/node/members/peers.ts
+++ b/packages/magnoliabay/src/node/members/peers.ts
@@ -1,17 +1,17 @@
 /**
- * How subsystems talk to other members, whatever carries it: calls that are answered, and notices
- * that are not. `members/network.ts` carries them over TCP; tests carry them in memory.
+ * Interface for messages between members: calls, which are answered, and notices, which are not. `members/network.ts`
+ * implements it over TCP, `members/memoryNetwork.ts` in memory for tests.
  */
 import type { Result } from '../result'
 import type { MemberRecord } from './record'
 
-/** A typed call between members. Make one with {@link definePeerCall}. */
+/** A typed call between members. Created with {@link definePeerCall}. */
 export interface PeerCall<Req, Res> {
   readonly kind: string
   readonly types?: { req: Req, res: Res }
 }
 
-/** A typed notice between members: sent once, perhaps lost, never answered. */
+/** A typed notice between members: sent once, possibly lost, never answered. */
 export interface PeerNotice<Body> {
   readonly kind: string
   readonly types?: { body: Body }
@@ -26,8 +26,8 @@
 }
 
 /**
- * `not-connected`, `too-large`: certainly not delivered. `timeout`, `link-lost`: may have been delivered and
- * carried out. `no-handler`, `handler-failed`: delivered, and answered so.
+ * `not-connected`, `too-large`: certainly not delivered. `timeout`, `link-lost`: may have been delivered and executed.
+ * `no-handler`, `handler-failed`: delivered, and answered with this error.
  */
 export type PeerErrorKind = 'not-connected' | 'timeout' | 'link-lost' | 'no-handler' | 'handler-failed' | 'too-large'
 
@@ -41,7 +41,7 @@
   timeoutMs?: number
 }
 
-/** `from` is the record that the sender gave when it connected. */
+/** `from` is the record that the sender sent when it connected. */
 export type PeerCallHandler<Req, Res> = (body: Req, from: MemberRecord) => Res | Promise<Res>
 export type PeerNoticeHandler<Body> = (body: Body, from: MemberRecord) => void
 
@@ -49,24 +49,27 @@
 
 export interface Peers {
   readonly self: MemberRecord
-  /** Members known to be there, this one included, in order of id. */
+  /** Known members, this one included, in order of id. */
   members (): readonly MemberRecord[]
   /**
-   * Whether the member can be called: a link to it stands, or it is one to which links are made on demand and
-   * none has failed lately.
+   * Whether the member can be called: a link to it is established, or links to it are dialled on demand and no dial has
+   * failed recently.
    */
   isConnected (memberId: string): boolean
   call<Req, Res> (memberId: string, call: PeerCall<Req, Res>, body: Req, options?: PeerCallOptions): Promise<Result<Res, PeerError>>
   notify<Body> (memberId: string, notice: PeerNotice<Body>, body: Body): void
-  /** Notifies those of the members to whom a link stands; the notice is encoded once for all of them. */
+  /** Notifies those of the members to which a link is established; the notice is encoded once for all of them. */
   notifyLinked<Body> (memberIds: readonly string[], notice: PeerNotice<Body>, body: Body): void
-  /** Notifies every member but this one; in a large fleet by way of others. Perhaps lost, rarely doubled. */
+  /**
+   * Notifies every other member, in a large fleet through forwarding by others. A notice may be lost, and is rarely
+   * duplicated.
+   */
   notifyAll<Body> (notice: PeerNotice<Body>, body: Body): void
-  /** A call to this member itself is answered by its own handler. */
+  /** Registers the handler of a call. Calls of this member to itself are answered by it as well. */
   serve<Req, Res> (call: PeerCall<Req, Res>, handler: PeerCallHandler<Req, Res>): void
   listen<Body> (notice: PeerNotice<Body>, handler: PeerNoticeHandler<Body>): void
-  /** Called after the members or their records changed. */
+  /** Calls the listener after the members or their records have changed. */
   onMembersChanged (listener: () => void): Disposer
-  /** Called when a link to a member has come up. */
+  /** Calls the listener when a link to a member has been established. */
   onConnected (listener: (member: MemberRecord) => void): Disposer
 }
--- a/packages/magnoliabay/src/node/members/reachabilityProbe.ts
+++ b/packages/magnoliabay/src/node/members/reachabilityProbe.ts
@@ -1,15 +1,16 @@
 /**
- * Whether anybody can still reach a member. That nobody can is no proof that its process is gone: it may be
- * paused, or cut off. It is a reason to act early only where acting early is safe, as on engines that refuse
- * the orders of an older fencing number.
+ * Checks whether any member can still reach another. That none can does not prove that its process has ended: it may be
+ * paused, or cut off. It is a reason to act early only where acting early is safe, as on engines that refuse orders
+ * with an older fencing number.
  */
 import { definePeerCall } from './peers'
 import type { Peers } from './peers'
 
 export interface ReachabilityProbe {
   /**
-   * True when neither this member nor any of a few others gets an answer from `memberId`. Never true without
-   * another member's word: one that is cut off itself can't reach anybody, and must not take that for news.
+   * Resolves to true when neither this member nor any of a few others gets an answer from `memberId`. Never resolves to
+   * true without the answer of another member: a member that is itself cut off reaches no other, and must not conclude
+   * that `memberId` is unreachable.
    */
   isUnreachable (memberId: string): Promise<boolean>
 }
@@ -18,7 +19,7 @@
 const witnessCall = definePeerCall<{ member: string }, { isReached: boolean }>('members.witness')
 
 const PING_TIMEOUT_MS = 1000
-/** Longer than a ping, so that a witness whose ping runs out can still say so. */
+/** Longer than a ping, so that a witness whose ping times out can still answer. */
 const WITNESS_TIMEOUT_MS = 1500
 const MAX_WITNESSES = 3
 
@@ -27,7 +28,7 @@
     const reply = await peers.call(memberId, pingCall, null, { timeoutMs: PING_TIMEOUT_MS })
     return reply.ok
   }
-  /** Undefined when the witness itself didn't answer. */
+  /** Resolves to undefined if the witness itself doesn't answer. */
   const askWitness = async (witness: string, member: string): Promise<boolean | undefined> => {
     const reply = await peers.call(witness, witnessCall, { member }, { timeoutMs: WITNESS_TIMEOUT_MS })
     return reply.ok ? reply.val.isReached : undefined
--- a/packages/magnoliabay/src/node/members/record.ts
+++ b/packages/magnoliabay/src/node/members/record.ts
@@ -1,10 +1,10 @@
-/** What a member tells the others about itself, kept in the store under its lease. */
+/** Description of a member, which it stores under its lease for the other members. */
 import { STORE_KEY_PREFIX } from '../constants'
 
 export interface MemberRecord {
   /** Instance id, stable over restarts of the same instance. */
   id: string
-  /** Unique for each process that ever ran under this id. */
+  /** Unique for each process that runs under this id. */
   incarnation: string
   /** Wall-clock start of the process, Unix epoch milliseconds; orders incarnations of one id. */
   startedAtMs: number
@@ -18,7 +18,7 @@
   operatorAddress: string
   /** Set once the instance shuts down: callers are no longer sent to it. */
   leaving: boolean
-  /** Processor time a second that the process may use, seconds; 0 where it is not known. */
+  /** Processor seconds per second that the process may use; 0 if unknown. */
   processorShare: number
 }
 
--- a/packages/magnoliabay/src/node/members/seeds.ts
+++ b/packages/magnoliabay/src/node/members/seeds.ts
@@ -1,6 +1,6 @@
 /**
- * Finding peers while the store, which knows them, is away. An instance that starts then would know nobody:
- * it could not learn the configuration, though every other instance has it.
+ * Finds peers while the store, which lists them, is unavailable. An instance that starts then would know no peer and
+ * could not get the configuration, although every other instance has it.
  */
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
@@ -10,14 +10,14 @@
 
 export interface SeedOptions {
   network: Pick<PeerNetwork, 'connectOnce'>
-  /** Peer addresses, asked in turn. */
+  /** Peer addresses, contacted in turn. */
   seeds: readonly string[]
-  /** Whether a peer is still looked for. */
+  /** Whether a peer is still needed. */
   isNeeded: () => boolean
   clock: Clock
 }
 
-/** Greets one seed after the other until none is needed any more, or `signal` aborts. */
+/** Contacts one seed after another until none is needed any more, or `signal` aborts. */
 export function contactSeeds ({ network, seeds, isNeeded, clock }: SeedOptions, signal: AbortSignal): void {
   if (seeds.length === 0) return
   const found = new AbortController()
--- a/packages/magnoliabay/src/node/members/terminationDetector.ts
+++ b/packages/magnoliabay/src/node/members/terminationDetector.ts
@@ -1,6 +1,6 @@
 /**
- * Proof that a process is gone for good. Silence, a lapsed lease and a refused connection are no proof:
- * a paused process wakes up and goes on with what it believes that it holds.
+ * Collects proofs that processes have ended. Silence, a lapsed lease and a refused connection are no proof: a paused
+ * process resumes and goes on with what it assumes it holds.
  */
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
@@ -17,23 +17,23 @@
 }
 
 /**
- * `listed-gone`: the platform's list had the instance after this process started, and has it no more.
- * `goodbye`: the process said so itself. `newer-incarnation`: another process has bound the same addresses.
- * `operator`: a person has said so.
+ * `listed-gone`: the platform's list contained the instance after this process started, and no longer does. `goodbye`:
+ * the process announced its end. `newer-incarnation`: another process has bound the same addresses. `operator`: an
+ * operator has declared it ended.
  */
 export type TerminationProofKind = 'listed-gone' | 'goodbye' | 'newer-incarnation' | 'operator'
 
 export interface TerminationProofs {
-  /** The proof that this very process is gone, or undefined while it may still act. */
+  /** Returns the proof that this process has ended, or undefined while it may still act. */
   proofFor (process: ProcessId): TerminationProofKind | undefined
   onTerminated (listener: (process: ProcessId, proof: TerminationProofKind) => void): Disposer
 }
 
 export interface TerminationDetector extends TerminationProofs {
-  /** A process that was seen, from its record or its link. Kept here even when its lease has lapsed. */
+  /** Registers a process known from its record or its link. It stays registered when its lease lapses. */
   observeProcess (record: MemberRecord): void
   recordGoodbye (record: MemberRecord): void
-  /** The platform's list as just read. */
+  /** Takes the platform's list as just read. */
   observeInstanceList (listed: readonly ListedInstance[]): void
   declareTerminated (process: ProcessId): void
 }
@@ -45,8 +45,8 @@
 }
 
 /**
- * The list is wrong by one now and then, so one reading without the instance proves nothing. It has to be absent
- * from every reading for this long, and meanwhile neither hold a link to us nor be registered as a member.
+ * The list sometimes misses an instance, so one reading without it proves nothing. The instance has to be absent from
+ * every reading for this long, and meanwhile neither hold a link to this member nor be registered as a member.
  */
 const MIN_ABSENT_MS = 30_000
 const MIN_ABSENT_READINGS = 5
@@ -83,7 +83,7 @@
     if (acceptProof(process, proof)) peers.notifyAll(proofNotice, { process, proof })
   }
   const processIdOf = (record: MemberRecord): ProcessId => ({ member: record.id, incarnation: record.incarnation })
-  /** Two processes can't have bound the same addresses: the older one's sockets are closed. */
+  /** Two processes can't have bound the same addresses: the sockets of the older one are closed. */
   const isReplacedBy = (older: MemberRecord, newer: MemberRecord): boolean =>
     older.id === newer.id && older.incarnation !== newer.incarnation && older.startedAtMs < newer.startedAtMs &&
     older.peerAddress === newer.peerAddress && older.entryAddress === newer.entryAddress
--- a/packages/magnoliabay/src/node/members/transport.ts
+++ b/packages/magnoliabay/src/node/members/transport.ts
@@ -1,4 +1,4 @@
-/** What carries peer links: TCP, or TLS over it. */
+/** Transport of peer links: TCP, or TLS over TCP. */
 import { connect, createServer } from 'node:net'
 import type { Server, Socket } from 'node:net'
 
