--- a/packages/magnoliabay/src/node/queue/capacity.ts
+++ b/packages/magnoliabay/src/node/queue/capacity.ts
@@ -1,8 +1,9 @@
 /**
- * How many requests this instance may have at the engines, without a word between instances.
+ * Limits how many requests this instance sends to the engines, without messages between instances.
  *
- * An engine runs a number of requests at full pace. An instance counts on what the engine's load report
- * leaves free of that, and always on an equal part of it, since reports lag and everybody must get in.
+ * An engine runs a fixed number of requests at full speed. An instance uses the slots that the engine's load report
+ * leaves free, and always at least an equal share of all slots, since reports lag and every instance must be able to
+ * send.
  */
 import type { EngineCapacity } from './queue'
 
@@ -15,7 +16,7 @@
   inFlight: (engine: string) => number
   /** Instances that send to the engines. */
   instanceCount: () => number
-  /** Requests that an engine runs at full pace. */
+  /** Requests that an engine runs at full speed. */
   slotsPerEngine: number
 }
 
@@ -32,9 +33,10 @@
   return {
     hasCapacityFor: (model, started) => {
       const engines = options.enginesOf(model)
-      // While the model is being loaded, as many go on to wait for it as one engine will take.
+      // While the model is being loaded, as many requests as one engine takes may go on to wait for it.
       if (engines.length === 0) return started < slotsPerEngine
-      // Requests that have their turn but no engine yet are in `started` alone, those of other models in flight alone.
+      // Requests that hold a permit but no engine yet count in `started` only, those of other models in `inFlight`
+      // only.
       return Math.max(started, sum(engines, options.inFlight)) < sum(engines, availableSlotsAt)
     }
   }
--- a/packages/magnoliabay/src/node/queue/index.ts
+++ b/packages/magnoliabay/src/node/queue/index.ts
@@ -1,4 +1,4 @@
-/** Where requests wait for their turn, fair across teams. */
+/** Queue in which requests wait for an engine, fair across teams. */
 export { createEngineCapacity } from './capacity'
 export type { CapacityOptions } from './capacity'
 export { ENGINE_PRIORITY_BY_CLASS, WORK_CLASS_HEADER, parseWorkClass } from './workClass'
--- a/packages/magnoliabay/src/node/queue/queue.ts
+++ b/packages/magnoliabay/src/node/queue/queue.ts
@@ -1,9 +1,9 @@
 /**
- * Where a request waits for its turn: fair across teams by tokens, interactive work before patient work without
- * starving it, earliest deadline first within a team.
+ * Queues requests until an engine has capacity: fair across teams by tokens, interactive work before patient work
+ * without starving it, earliest deadline first within a team.
  *
- * Every waiting request has one deadline and settles exactly once: with its turn, or with a refusal that is
- * true to say that nothing ran.
+ * Every waiting request has one deadline and settles exactly once: with a permit, or with a refusal, which is only
+ * given while nothing has run.
  */
 import type { CancelTimer, Clock } from '../clock'
 import { createRefusal } from '../failures'
@@ -23,28 +23,28 @@
   team: string
   model: string
   workClass: WorkClass
-  /** Tokens at most: prompt and answer. */
+  /** Upper bound of tokens: prompt and answer. */
   reservedTokens: number
-  /** Monotonic time by which the request has to be answered. */
+  /** Monotonic milliseconds by which the request has to be answered. */
   deadlineMs: number
   signal: AbortSignal
 }
 
 export interface QueuePermit {
-  /** To be called when the request has ended; tells what it used. Calling it twice is harmless. */
+  /** Releases the permit once the request has ended, with the tokens that it used. Further calls have no effect. */
   release (usedTokens: number): void
 }
 
 /** Whether another request may be sent to an engine now. */
 export interface EngineCapacity {
-  /** `started` requests for `model` have their turn here. */
+  /** `started`: requests for `model` that hold a permit from this queue. */
   hasCapacityFor (model: string, started: number): boolean
 }
 
 export interface QueueOptions {
   capacity: EngineCapacity
   weightOf: (team: string) => number
-  /** Requests that wait at once, over all teams. @default 1000 */
+  /** Maximum of waiting requests, over all teams. @default 1000 */
   maxWaiting?: number
   clock: Clock
   logger: Logger
@@ -59,13 +59,13 @@
 export interface RequestQueue {
   /** Resolves when the request may go on, or is refused. */
   acquire (req: QueueRequest): Promise<Result<QueuePermit, Failure>>
-  /** To be called when the capacity may have grown. */
+  /** Starts waiting requests. Called when the capacity may have grown. */
   dispatch (): void
   backlogByTeam (): readonly TeamBacklog[]
 }
 
 const DEFAULT_MAX_WAITING = 1000
-/** Capacity may grow without a word, since load reports lag. */
+/** Capacity may grow without a call of `dispatch`, since load reports lag. */
 const POLL_INTERVAL_MS = 50
 const MS_PER_SECOND = 1000
 const MAX_RETRY_AFTER_S = 60
@@ -119,12 +119,15 @@
       }
     }
   }
-  /** Team and class have had their last request for now. */
+  /** Deactivates the counters of a team and a class that have neither waiting nor running requests. */
   const deactivateIfIdle = ({ team, workClass }: WaitingRequest): void => {
     if (waitingRequests.sizeOfTeam(team) === 0 && !running.has(team)) teamCounters.deactivate(team)
     if (waitingRequests.teams(workClass).length === 0 && !runningInClass.has(workClass)) classCounters.deactivate(workClass)
   }
-  /** The class with the least counter, in it the team with the least, in it the earliest deadline that can start. */
+  /**
+   * Returns the next request to start: the class with the lowest counter, in it the team with the lowest counter, in it
+   * the earliest deadline whose model has capacity.
+   */
   const nextStartable = (): QueuedRequest | undefined => {
     const startableByModel = new Map<string, boolean>()
     const canStart = (req: QueuedRequest): boolean => {
@@ -165,7 +168,7 @@
     req.settle(Err(failure))
   }
 
-  /** Milliseconds until the request would get its turn, or undefined while nobody can tell. */
+  /** Estimated milliseconds until the request would start, or undefined while the throughput is unknown. */
   const estimateWaitMs = (req: QueueRequest): number | undefined => {
     const tokensPerSecond = throughputOf(req.model).tokensPerSecond(now())
     if (tokensPerSecond === undefined) return undefined
@@ -178,8 +181,8 @@
   const overloadedRefusal = (message: string, waitMs: number): Failure =>
     createRefusal('overloaded', message, Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))))
   /**
-   * A team that sends several times its share must not fill the places of the others: when there is no place
-   * left, the team with the most waiting for its weight gives one up, the last of its own line.
+   * A team that sends several times its share must not take the places of other teams: when the queue is full, the team
+   * with the most waiting requests relative to its weight loses its last one.
    */
   const evictForTeam = (team: string): boolean => {
     const loadOf = (name: string): number => (waitingRequests.sizeOfTeam(name) + (name === team ? 1 : 0)) / weightOf(name)
--- a/packages/magnoliabay/src/node/queue/throughput.ts
+++ b/packages/magnoliabay/src/node/queue/throughput.ts
@@ -1,15 +1,15 @@
-/** How fast requests for a model have been started lately, for the estimate of a wait. */
+/** Measures how fast requests for a model are started, to estimate the wait in the queue. */
 import { createDecayingRate } from '../decayingRate'
 
 const AVERAGING_WINDOW_MS = 5000
-/** Before anybody has waited for this long the pace says nothing: there was room. */
+/** The throughput is unknown until requests have waited for this long: before that there was spare capacity. */
 const MIN_MEASURED_MS = 3000
 
 export interface Throughput {
   recordStarted (tokens: number, nowMs: number): void
-  /** Whether anybody waits for the model. */
+  /** Sets whether any request waits for the model. */
   setWaiting (isWaiting: boolean, nowMs: number): void
-  /** Tokens a second while somebody waited, or undefined while that isn't known. */
+  /** Returns the tokens per second while requests waited, or undefined while that is unknown. */
   tokensPerSecond (nowMs: number): number | undefined
 }
 
@@ -22,13 +22,13 @@
     setWaiting: (isWaiting, now) => {
       if (!isWaiting) waitingSinceMs = undefined
       if (!isWaiting || waitingSinceMs !== undefined) return
-      // What was started while there was room says nothing about the pace of a queue.
+      // Requests that started while there was spare capacity say nothing about the throughput of a queue.
       waitingSinceMs = now
       started.reset(now)
     },
     tokensPerSecond: now => {
       if (waitingSinceMs === undefined || now - waitingSinceMs < MIN_MEASURED_MS) return undefined
-      // An average that began at 0 is too low by as much as a constant pace's would be.
+      // Corrects for the start at 0: the average of a constant rate would be too low by this factor.
       const measured = started.read(now) / (1 - Math.exp(-(now - waitingSinceMs) / AVERAGING_WINDOW_MS))
       return measured > 0 ? measured : undefined
     }
--- a/packages/magnoliabay/src/node/queue/tokenCounters.ts
+++ b/packages/magnoliabay/src/node/queue/tokenCounters.ts
@@ -1,24 +1,24 @@
 /**
- * Virtual token counters: each name is charged the tokens that it is served, divided by its weight, and the
- * one with the least goes first. So those who wait are served tokens in proportion to their weights, however
- * many requests they send and however long these are.
+ * Virtual token counters: each name is charged the tokens that it is served, divided by its weight, and the name with
+ * the lowest counter goes first. Names that wait are served tokens in proportion to their weights, however many
+ * requests they send and however long these are.
  */
 
 export interface TokenCounters {
-  /** The name has work again. What it didn't use while it had none is not saved up. */
+  /** Marks a name as having work. What it didn't use while idle is not saved up. */
   activate (name: string): void
-  /** The name has no work any more. */
+  /** Marks a name as idle. */
   deactivate (name: string): void
-  /** Charges tokens, or gives them back when negative. */
+  /** Charges tokens, or refunds them when negative. */
   charge (name: string, tokens: number): void
-  /** Orders names by counter, least first; ties by name. */
+  /** Orders names by counter, lowest first; ties by name. */
   order (names: readonly string[]): readonly string[]
 }
 
 export function createTokenCounters (weightOf: (name: string) => number): TokenCounters {
   const counters = new Map<string, number>()
   const active = new Set<string>()
-  /** Where somebody who comes while nobody is active begins. */
+  /** Lower bound of the counter of a name that becomes active while no other is. */
   let idleFloor = 0
 
   const valueOf = (name: string): number => counters.get(name) ?? 0
@@ -32,7 +32,7 @@
     deactivate: name => {
       if (!active.delete(name)) return
       idleFloor = Math.max(idleFloor, valueOf(name))
-      // In memory only as long as it tells more than the floor.
+      // Once no name is active, the floor alone is enough.
       if (active.size === 0) counters.clear()
     },
     charge: (name, tokens) => { counters.set(name, valueOf(name) + tokens / weightOf(name)) },
--- a/packages/magnoliabay/src/node/queue/waitingRequests.ts
+++ b/packages/magnoliabay/src/node/queue/waitingRequests.ts
@@ -1,11 +1,11 @@
-/** Those who wait, by class and team, in order of their deadlines. */
+/** Waiting requests by class and team, in order of their deadlines. */
 import type { WorkClass } from './workClass'
 
 export interface WaitingRequest {
   team: string
   model: string
   workClass: WorkClass
-  /** Tokens at most: prompt and answer. */
+  /** Upper bound of tokens: prompt and answer. */
   reservedTokens: number
   /** Monotonic milliseconds. */
   deadlineMs: number
@@ -18,7 +18,7 @@
   size (): number
   sizeOfTeam (team: string): number
   teams (workClass: WorkClass): readonly string[]
-  /** Waiters of one team and class, earliest deadline first. */
+  /** Requests of one team and class, earliest deadline first. */
   ofTeam (workClass: WorkClass, team: string): readonly W[]
   all (): readonly W[]
 }
