--- a/packages/magnoliabay/src/node/routing/index.ts
+++ b/packages/magnoliabay/src/node/routing/index.ts
@@ -1,5 +1,5 @@
 /**
- * Which replica a request goes to, and the wait while there is none.
+ * Chooses the replica for a request, and waits while there is none.
  */
 import type { BackendDirectory } from '../backend/directory'
 import type { Cells, ReplicaEntry } from '../cells'
@@ -15,20 +15,23 @@
 export interface ReplicaRequest {
   /** A model, or an adapter, which needs its model at the same engine. */
   modelOrAdapter: string
-  /** Team that waits; its weight counts in the order of loads. */
+  /** Team of the request; its weight affects the order of model loads. */
   team?: string
-  /** Hash of the prompt's beginning, to bring alike prompts to one replica. */
+  /** Hash of the prompt's prefix, so that similar prompts go to one replica. */
   prefixHash?: string
-  /** Monotonic time by which the request has to be on its way. */
+  /** Monotonic milliseconds by which the request has to be sent. */
   deadlineMs: number
-  /** Engines not to use again, such as one that has just failed this request. One that loses its replica is taken out. */
+  /**
+   * Engines not to use, such as one that has just failed this request. An engine that loses its replica is removed from
+   * the set.
+   */
   excludedEngines: Set<string>
   signal: AbortSignal
 }
 
 export interface AcquiredReplica {
   replica: ReplicaEntry
-  /** To be called once, when the request has ended. */
+  /** Releases the replica. Called once, when the request has ended. */
   release: () => void
 }
 
@@ -41,7 +44,7 @@
 export interface RouterOptions {
   cells: Cells
   cfg: Pick<ConfigProvider, 'adapter' | 'team'>
-  /** What the platform's list says about engines, to leave out those that are leaving. */
+  /** The platform's list of engines, to exclude those that are leaving. */
   directory: Pick<BackendDirectory, 'engine'>
   clock: Clock
 }
@@ -63,11 +66,11 @@
     if (next === 0) inFlight.delete(engine)
     else inFlight.set(engine, next)
   }
-  /** The report lags, but counts all instances; our own count is of now, but of this instance alone. */
+  /** The reported load lags but covers all instances; the local count is current but covers this instance alone. */
   const loadOf = (engine: string): number => Math.max(cells.loadOf(engine), inFlight.get(engine) ?? 0)
   /**
-   * A table may be old: its steward may be paused, cut off from us, or gone. The platform's list, which every
-   * instance reads itself, takes leaving engines out all the same, so they get nothing new within its lag.
+   * A table may be out of date: its cell leader may be paused, unreachable from here, or terminated. Every instance
+   * reads the platform's list itself, so that leaving engines get no new requests after the lag of that list.
    */
   const isNotLeaving = (replica: ReplicaEntry): boolean => directory.engine(replica.engine)?.status !== 'leaving'
   const targetOf = (name: string): Target => {
@@ -77,8 +80,8 @@
   const isUsable = (req: ReplicaRequest, target: Target, replica: ReplicaEntry): boolean =>
     !req.excludedEngines.has(replica.engine) && isNotLeaving(replica) && (target.adapter === undefined || replica.adapters.includes(target.adapter))
   /**
-   * An engine that has lost its replica since is no longer the one that failed, and its next load may serve. Without
-   * this, a request whose only engine died would wait beside the replica loaded anew until its deadline.
+   * Removes the exclusion of engines that have since lost their replica: a replica loaded there later may serve.
+   * Otherwise a request whose only engine died would wait until its deadline beside the reloaded replica.
    */
   const clearLostExclusions = (excludedEngines: Set<string>, all: readonly ReplicaEntry[]): void => {
     const lost = [...excludedEngines].filter(engine => !all.some(replica => replica.engine === engine))
@@ -100,7 +103,7 @@
       if (isReleased) return
       isReleased = true
       changeInFlight(engine, -1)
-      // A long answer is use until its end.
+      // A long answer counts as use until its end.
       cells.recordUse(model, adapter)
     }
   }
--- a/packages/magnoliabay/src/node/routing/replicaSelection.ts
+++ b/packages/magnoliabay/src/node/routing/replicaSelection.ts
@@ -1,28 +1,28 @@
 /**
- * Which of several replicas a request goes to: the same prompt prefix goes to the same replica, as long as that one
- * is not much busier than the others.
+ * Selects one of several replicas for a request: the same prompt prefix goes to the same replica, unless that one is
+ * much busier than the others.
  */
 import type { ReplicaEntry } from '../cells'
 import { rankByRendezvous } from '../utils'
 
 export interface SelectionRequest {
   replicas: readonly ReplicaEntry[]
-  /** Hash of the prompt's beginning, when it is worth keeping together. */
+  /** Hash of the prompt's prefix, if such prompts should go to one replica. */
   prefix?: string
-  /** Requests at an engine, as far as is known. */
+  /** Known number of requests at an engine. */
   loadOf: (engine: string) => number
-  /** Failure domains in which this request, or others lately, failed. */
+  /** Failure domains in which this request, or others recently, failed. */
   avoidDomains: ReadonlySet<string>
 }
 
-/** A replica may be this much busier than the mean before a prefix goes elsewhere. */
+/** A prefix goes to another replica when its own has more than this multiple of the mean load. */
 const MAX_LOAD_RATIO = 1.25
-/** Below this load nobody waits, so the prefix decides alone. */
+/** Up to this many requests at an engine none waits, so the prefix alone decides. */
 const UNCONTENDED_LOAD = 4
 
 /**
- * Rendezvous hashing gives all instances the same order without a word between them, and needs no cache events,
- * which come late and with gaps: an event that is missed costs nothing.
+ * Rendezvous hashing gives all instances the same order without messages between them. It needs no cache events, which
+ * arrive late and with gaps, so a missed event does no harm.
  */
 export function chooseReplica (req: SelectionRequest): ReplicaEntry | undefined {
   const outsideAvoidedDomains = req.replicas.filter(replica => !req.avoidDomains.has(replica.failureDomain))
--- a/packages/magnoliabay/src/node/routing/replicaWait.ts
+++ b/packages/magnoliabay/src/node/routing/replicaWait.ts
@@ -1,12 +1,12 @@
 /**
- * Requests that wait for a replica: each has one deadline and one timer and settles exactly once; all that wait
- * for one model tell the stewards together.
+ * Requests that wait for a replica. Each has one deadline and one timer and settles exactly once; those that wait for
+ * the same model send one demand together.
  */
 import type { Cells } from '../cells'
 import { sleep } from '../clock'
 import type { CancelTimer, Clock } from '../clock'
 
-/** How often those who wait tell the steward again; it also meets a demand that got lost. */
+/** Interval at which the demand for a model is repeated, also in case one was lost. */
 const DEMAND_INTERVAL_MS = 1000
 const BATCH_DELAY_MS = 5
 
@@ -17,14 +17,14 @@
   deadlineMs: number
   weight: number
   signal: AbortSignal
-  /** Tried whenever something has changed; undefined to go on waiting. */
+  /** Called whenever replicas may have changed; returns undefined to keep waiting. */
   tryAcquire: () => T | undefined
 }
 
 export interface ReplicaWaits {
-  /** Resolves to what `attempt` gave, or to undefined at the deadline or when `signal` aborts. */
+  /** Resolves to what `tryAcquire` returned, or to undefined at the deadline or when `signal` aborts. */
   wait<T> (req: WaitRequest<T>): Promise<T | undefined>
-  /** Why the model is not there yet, as the steward last said. */
+  /** Why the model is not loaded yet, as last reported by its cell leader. */
   reasonFor (model: string): string | undefined
 }
 
@@ -36,10 +36,10 @@
   retry: () => void
 }
 
-/** Those who wait for one model. */
+/** Requests that wait for one model. */
 interface ModelWait {
   waiters: Set<Waiter>
-  /** Adapters that the steward has been told of in this round. */
+  /** Adapters that a demand of this round already named. */
   requestedAdapters: Set<string>
   isDemandScheduled: boolean
 }
@@ -67,10 +67,10 @@
       weight: Math.max(...all.map(waiter => waiter.weight))
     })
     reasons.set(model, reply.reason)
-    // The reply may have brought a table that a lost notice should have brought.
+    // The reply may have delivered a table whose notice was lost.
     retryAll(waiters)
   }
-  /** One loop for each model that is waited for, for as long as anybody waits. */
+  /** Repeats the demand for a model for as long as requests wait for it. */
   const repeatDemand = async (model: string, modelWait: ModelWait): Promise<void> => {
     while (modelWait.waiters.size > 0) {
       modelWait.requestedAdapters.clear()
@@ -79,7 +79,7 @@
     }
     if (modelWaits.get(model) === modelWait) modelWaits.delete(model)
   }
-  /** What the steward has not heard of yet is told at once, together with what else comes in the next moment. */
+  /** Sends new demand before the next round, batched with other demand of the next {@link BATCH_DELAY_MS}. */
   const scheduleDemand = (model: string, modelWait: ModelWait): void => {
     if (modelWait.isDemandScheduled) return
     modelWait.isDemandScheduled = true
