--- a/packages/magnoliabay/src/node/admission/index.ts
+++ b/packages/magnoliabay/src/node/admission/index.ts
@@ -1,4 +1,4 @@
-/** Who may come in: keys and the teams they stand for. */
+/** Authentication of callers: keys and the teams they belong to. */
 export { createCallerKey, KEY_RECORDS_PREFIX } from './keys'
 export type { CallerKeyRecord, CreatedCallerKey } from './keys'
 export { createKeyring } from './keyring'
--- a/packages/magnoliabay/src/node/admission/keyring.ts
+++ b/packages/magnoliabay/src/node/admission/keyring.ts
@@ -1,5 +1,5 @@
 /**
- * The keys known to this instance, and who may come in with them.
+ * Authenticates callers by the keys that this instance knows.
  */
 import type { Clock } from '../clock'
 import { createRefusal } from '../failures'
@@ -25,9 +25,9 @@
 
 export interface Keyring {
   authenticate (authorization: string | undefined): Result<Caller, Failure>
-  /** Takes a withdrawal at once and spreads it to the peers; the store is told when it can be. */
+  /** Applies a withdrawal at once and sends it to the peers. It is written to the store once the store answers. */
   withdraw (withdrawal: Withdrawal): void
-  /** Called when a key stops working: withdrawn, or gone from the store. */
+  /** Calls the listener when a key becomes invalid: withdrawn, or deleted from the store. */
   onWithdrawn (listener: (keyId: string) => void): Disposer
   start (signal: AbortSignal): void
 }
@@ -52,7 +52,7 @@
   const applyEntry = (entry: { key: string, value: string }): void => {
     const record = parseKeyRecord(entry.value)
     const isValid = record !== undefined && KEY_RECORDS_PREFIX + record.id === entry.key
-    // What is known of the key stays in force: a damaged record neither lets anybody in nor shuts anybody out.
+    // Keeps the previous record: a damaged one neither admits nor locks out callers.
     if (!isValid) return logger.error('key-record-refused', { key: entry.key, reason: 'not a key record' })
     records.set(record.id, record)
     if (record.withdrawnAtMs !== undefined) withdrawals.record({ keyId: record.id, atMs: record.withdrawnAtMs })
--- a/packages/magnoliabay/src/node/admission/keys.ts
+++ b/packages/magnoliabay/src/node/admission/keys.ts
@@ -1,5 +1,5 @@
 /**
- * Callers' keys. A key reads `mb_<id>_<secret>`; only the secret's digest is ever stored.
+ * Caller keys. A key has the form `mb_<id>_<secret>`; only the digest of the secret is stored.
  */
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto'
 import * as v from 'valibot'
@@ -30,7 +30,7 @@
 }
 
 export interface CreatedCallerKey {
-  /** Shown once, to whoever made it. */
+  /** Shown only once, when the key is created. */
   key: string
   record: CallerKeyRecord
 }
@@ -54,14 +54,14 @@
   return { id: match[1]!, secret: match[2]! }
 }
 
-/** Compares in constant time, so that the time taken tells nothing about the secret. */
+/** Compares in constant time, so that the duration reveals nothing about the secret. */
 export function secretMatches (record: Pick<CallerKeyRecord, 'digest'>, secret: string): boolean {
   const expected = Buffer.from(record.digest, 'hex')
   const actual = Buffer.from(digestOf(secret), 'hex')
   return expected.length === actual.length && timingSafeEqual(expected, actual)
 }
 
-/** The record, or undefined when the text isn't one. */
+/** Returns the record, or undefined if the text is not a valid key record. */
 export function parseKeyRecord (text: string): CallerKeyRecord | undefined {
   const checked = v.safeParse(keySchema, parseJson(text))
   return checked.success ? checked.output : undefined
--- a/packages/magnoliabay/src/node/admission/persistWithdrawals.ts
+++ b/packages/magnoliabay/src/node/admission/persistWithdrawals.ts
@@ -1,6 +1,6 @@
 /**
- * Brings withdrawals that peers spread while the store was dark into the store once it is back. Else a
- * withdrawal would be forgotten when the last instance that heard of it is replaced.
+ * Writes withdrawals that spread between peers while the store was unavailable to the store once it answers again.
+ * Otherwise a withdrawal would be lost when the last instance that knows it is replaced.
  */
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
@@ -18,7 +18,7 @@
   store: Store
   peers: Peers
   withdrawals: Withdrawals
-  /** The store's record of a key, as last heard. */
+  /** The store's record of a key, as last received. */
   recordOf: (keyId: string) => CallerKeyRecord | undefined
   clock: Clock
   logger: Logger
@@ -29,7 +29,7 @@
   const waitedRounds = new Map<string, number>()
 
   const isUnwritten = (keyId: string): boolean => recordOf(keyId)?.withdrawnAtMs === undefined && recordOf(keyId) !== undefined
-  /** Members take turns, so that a fleet that wakes with the store doesn't write each key as often as it has members. */
+  /** Members take turns, so that not every member writes each key when the store answers again. */
   const isMyTurn = (keyId: string): boolean => {
     const waited = waitedRounds.get(keyId) ?? 0
     waitedRounds.set(keyId, waited + 1)
--- a/packages/magnoliabay/src/node/admission/withdrawalFreshness.ts
+++ b/packages/magnoliabay/src/node/admission/withdrawalFreshness.ts
@@ -1,33 +1,33 @@
 /**
- * Whether this instance still hears of withdrawals.
+ * Tells whether this instance still learns of withdrawals.
  *
- * An instance that reaches neither the store nor any peer, or that has just woken from a long pause,
- * doesn't know which keys have been withdrawn meanwhile, and would let their holders in for as long
- * as it is cut off. It stops admitting after {@link MAX_SYNC_AGE_MS}, and starts again once a peer or the store has
- * told it everything that it missed.
+ * An instance that reaches neither the store nor any peer, or that has just resumed after a long pause, doesn't know
+ * which keys have been withdrawn meanwhile, and would admit their callers for as long as it is cut off. It refuses
+ * callers when its last sync is older than {@link MAX_SYNC_AGE_MS}, and admits them again once a peer or the store has
+ * sent everything that it missed.
  */
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
 import type { Peers } from '../members'
 
-/** How often the instance makes sure that it hears of withdrawals, in milliseconds. */
+/** Interval of syncs with a peer or the store. */
 const SYNC_INTERVAL_MS = 2000
-/** Without contact for this long nobody is admitted, in milliseconds. */
+/** Callers are refused when the last sync is older than this. */
 export const MAX_SYNC_AGE_MS = 10_000
 
 export interface WithdrawalFreshnessOptions {
   peers: Peers
   clock: Clock
-  /** Catches up with a peer; false when it doesn't answer. */
+  /** Syncs with a peer; resolves to false if it doesn't answer. */
   syncWith: (memberId: string) => Promise<boolean>
-  /** Catches up with the store; false when it doesn't answer. */
+  /** Reads the store; resolves to false if it doesn't answer. */
   readStore: () => Promise<boolean>
 }
 
 export interface WithdrawalFreshness {
-  /** Whether what is known here is recent enough to admit callers. */
+  /** Whether the last sync is recent enough to admit callers. */
   isRecent (): boolean
-  /** To be called when the store has sent everything. */
+  /** Records that the store has sent a whole snapshot. */
   recordSync (): void
   start (signal: AbortSignal): void
 }
@@ -37,7 +37,7 @@
   let syncedAtMs = -Infinity
   let peerIndex = 0
 
-  /** Another peer each time, so that news also spreads by way of those that got it. */
+  /** Returns another peer each time, so that withdrawals also spread through the peers that received them. */
   const nextPeer = (): string | undefined => {
     const connected = peers.members().filter(member => member.id !== peers.self.id && peers.isConnected(member.id))
     peerIndex += 1
--- a/packages/magnoliabay/src/node/admission/withdrawals.ts
+++ b/packages/magnoliabay/src/node/admission/withdrawals.ts
@@ -1,6 +1,6 @@
 /**
- * Which keys are withdrawn, as far as this instance has heard from the store or any peer. The set only ever
- * grows, so it can be merged in any order, and works while the store is dark.
+ * The withdrawn keys that this instance knows from the store or its peers. Keys are only ever added, so sets can be
+ * merged in any order, and withdrawals spread while the store is unavailable.
  */
 import { createListeners } from '../members/dispatch'
 import { definePeerCall, definePeerNotice } from '../members'
@@ -27,19 +27,19 @@
 const syncCall = definePeerCall<SyncRequest, SyncReply>('admission.withdrawals')
 
 const SYNC_TIMEOUT_MS = 1000
-/** Digests are sums in this range, so that their order doesn't matter. */
+/** Digests are sums of key hashes modulo this, so that the order of the keys doesn't matter. */
 const DIGEST_RANGE = 2 ** 48
 
 export interface Withdrawals {
   has (keyId: string): boolean
   all (): readonly Withdrawal[]
-  /** Notes a withdrawal that the store holds, or that came from a peer. */
+  /** Records a withdrawal from the store or from a peer. */
   record (withdrawal: Withdrawal): void
-  /** Notes a withdrawal made here, and tells every peer at once. */
+  /** Records a withdrawal made at this instance, and notifies every peer at once. */
   announce (withdrawal: Withdrawal): void
-  /** Gets from a peer what is missing here. False when the peer doesn't answer. */
+  /** Fetches the withdrawals that are missing here from a peer. Resolves to false if the peer doesn't answer. */
   syncWith (memberId: string): Promise<boolean>
-  /** Called once for each key that is withdrawn. */
+  /** Calls the listener once for each key that is withdrawn. */
   onRecorded (listener: (keyId: string) => void): Disposer
 }
 
@@ -63,7 +63,7 @@
 
   peers.listen(keyWithdrawn, note)
   peers.serve(syncCall, req => ({ withdrawals: req.digest === digest() ? [] : [...known.values()] }))
-  // A member that was away or cut off while a key was withdrawn has missed the notice.
+  // A member that was unreachable while a key was withdrawn has missed the notice.
   peers.onConnected(member => { syncWith(member.id) })
 
   return {
