--- a/packages/magnoliabay/src/node/members/network.ts
+++ b/packages/magnoliabay/src/node/members/network.ts
@@ -88,7 +88,7 @@
   }
   const closeAfterLinger = (link: Link): void => {
     lingering.add(link)
-    clock.schedule(REPLACED_LINK_LINGER_MS, () => link.close('another link stands'))
+    clock.schedule(REPLACED_LINK_LINGER_MS, () => link.close('replaced by another link'))
   }
   const replace = (existing: Link | undefined, next: Link): void => {
     if (existing === undefined) return
