--- a/packages/magnoliabay/src/node/members/dialer.ts
+++ b/packages/magnoliabay/src/node/members/dialer.ts
@@ -1,4 +1,4 @@
-/** Keeps dialling the members that this one has to dial, and stops when it has not. */
+/** Dials the members that this one has to connect to, again after each failure, until they are no longer targets. */
 import type { Socket } from 'node:net'
 import { sleep } from '../clock'
 import type { Clock } from '../clock'
@@ -6,26 +6,26 @@
 import type { MemberRecord } from './record'
 import type { PeerTransport } from './transport'
 
-const REDIAL_MS = 500
+const REDIAL_DELAY_MS = 500
 const DIAL_TIMEOUT_MS = 2000
 
-export interface Dialling {
-  /** Dials these from now on, and no others. */
+export interface Dialer {
+  /** Dials these members from now on, and no others. */
   setTargets (members: readonly MemberRecord[]): void
   /** Dials once; resolves when the connection has ended. */
   dialOnce (member: Pick<MemberRecord, 'peerAddress'>): Promise<void>
-  /** Dials no more. Links that stand are left open. */
+  /** Stops dialling. Established links stay open. */
   close (): void
 }
 
-export interface DiallingOptions {
+export interface DialerOptions {
   transport: PeerTransport
   clock: Clock
   /** Runs a link until it ends. */
-  run: (socket: Socket) => Promise<void>
+  runLink: (socket: Socket) => Promise<void>
 }
 
-export function createDialling (options: DiallingOptions): Dialling {
+export function createDialer (options: DialerOptions): Dialer {
   const targets = new Map<string, AbortController>()
   const closed = new AbortController()
   let isClosing = false
@@ -34,17 +34,17 @@
     const { host, port } = parseHostPort(member.peerAddress)
     const socket = options.transport.dial({ host, port, timeout: DIAL_TIMEOUT_MS })
     socket.on('timeout', () => { if (socket.connecting) socket.destroy() })
-    // Taken off again after each run: a peer that is down for long would otherwise leave a dead socket for every dial.
-    // At the end of the process a link that stands is left to say goodbye: that is the proof others wait for.
-    const cut = (): void => { if (!isClosing || socket.connecting) socket.destroy() }
-    signal.addEventListener('abort', cut, { once: true })
-    await options.run(socket)
-    signal.removeEventListener('abort', cut)
+    // Removed after each run: a peer that is down for long would otherwise leave a closed socket for every dial. When
+    // the process ends, an established link stays open to send its goodbye, which is the proof that others wait for.
+    const onAbort = (): void => { if (!isClosing || socket.connecting) socket.destroy() }
+    signal.addEventListener('abort', onAbort, { once: true })
+    await options.runLink(socket)
+    signal.removeEventListener('abort', onAbort)
   }
-  const keepDialling = async (member: MemberRecord, signal: AbortSignal): Promise<void> => {
+  const dialRepeatedly = async (member: MemberRecord, signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
       await dial(member, signal)
-      await sleep(options.clock, REDIAL_MS, signal)
+      await sleep(options.clock, REDIAL_DELAY_MS, signal)
     }
   }
   const keyOf = (member: MemberRecord): string => `${member.id} ${member.peerAddress} ${member.incarnation}`
@@ -60,7 +60,7 @@
       members.filter(member => !targets.has(keyOf(member))).forEach(member => {
         const controller = new AbortController()
         targets.set(keyOf(member), controller)
-        keepDialling(member, controller.signal)
+        dialRepeatedly(member, controller.signal)
       })
     },
     dialOnce: member => dial(member, closed.signal),
--- a/packages/magnoliabay/src/node/routing/index.ts
+++ b/packages/magnoliabay/src/node/routing/index.ts
@@ -1,5 +1,5 @@
 /**
- * Which replica a request goes to, and the wait while there is none.
+ * Chooses the replica for a request, and waits while there is none.
  */
 import type { BackendDirectory } from '../backend/directory'
 import type { Cells, ReplicaEntry } from '../cells'
@@ -10,25 +10,28 @@
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { chooseReplica } from './replicaSelection'
-import { createWaitingRoom } from './replicaWait'
+import { createReplicaWaits } from './replicaWait'
 
 export interface ReplicaRequest {
   /** A model, or an adapter, which needs its model at the same engine. */
   modelOrAdapter: string
-  /** Team that waits; its weight counts in the order of loads. */
+  /** Team of the request; its weight affects the order of model loads. */
   team?: string
-  /** Hash of the prompt's beginning, to bring alike prompts to one replica. */
+  /** Hash of the prompt's prefix, so that similar prompts go to one replica. */
   prefixHash?: string
-  /** Monotonic time by which the request has to be on its way. */
+  /** Monotonic milliseconds by which the request has to be sent. */
   deadlineMs: number
-  /** Engines not to use again, such as one that has just failed this request. One that loses its replica is taken out. */
+  /**
+   * Engines not to use, such as one that has just failed this request. An engine that loses its replica is removed from
+   * the set.
+   */
   excludedEngines: Set<string>
   signal: AbortSignal
 }
 
 export interface AcquiredReplica {
   replica: ReplicaEntry
-  /** To be called once, when the request has ended. */
+  /** Releases the replica. Called once, when the request has ended. */
   release: () => void
 }
 
@@ -38,10 +41,10 @@
   inFlight (engine: string): number
 }
 
-export interface RoutingOptions {
+export interface RouterOptions {
   cells: Cells
   cfg: Pick<ConfigProvider, 'adapter' | 'team'>
-  /** What the platform's list says about engines, to leave out those that are leaving. */
+  /** The platform's list of engines, to exclude those that are leaving. */
   directory: Pick<BackendDirectory, 'engine'>
   clock: Clock
 }
@@ -53,75 +56,75 @@
 
 const RETRY_AFTER_SECONDS = 5
 
-export function createReplicaRouter (options: RoutingOptions): ReplicaRouter {
+export function createReplicaRouter (options: RouterOptions): ReplicaRouter {
   const { cells, cfg, clock, directory } = options
   const inFlight = new Map<string, number>()
-  const waitingRoom = createWaitingRoom(cells, clock)
+  const replicaWaits = createReplicaWaits(cells, clock)
 
-  const count = (engine: string, change: number): void => {
+  const changeInFlight = (engine: string, change: number): void => {
     const next = (inFlight.get(engine) ?? 0) + change
     if (next === 0) inFlight.delete(engine)
     else inFlight.set(engine, next)
   }
-  /** The report lags, but counts all instances; our own count is of now, but of this instance alone. */
+  /** The reported load lags but covers all instances; the local count is current but covers this instance alone. */
   const loadOf = (engine: string): number => Math.max(cells.loadOf(engine), inFlight.get(engine) ?? 0)
   /**
-   * A table may be old: its steward may be paused, cut off from us, or gone. The platform's list, which every
-   * instance reads itself, takes leaving engines out all the same, so they get nothing new within its lag.
+   * A table may be out of date: its cell leader may be paused, unreachable from here, or terminated. Every instance
+   * reads the platform's list itself, so that leaving engines get no new requests after the lag of that list.
    */
-  const isStaying = (replica: ReplicaEntry): boolean => directory.engine(replica.engine)?.status !== 'leaving'
+  const isNotLeaving = (replica: ReplicaEntry): boolean => directory.engine(replica.engine)?.status !== 'leaving'
   const targetOf = (name: string): Target => {
     const adapter = cfg.adapter(name)
     return adapter === undefined ? { model: name } : { model: adapter.model, adapter: name }
   }
   const isUsable = (req: ReplicaRequest, target: Target, replica: ReplicaEntry): boolean =>
-    !req.excludedEngines.has(replica.engine) && isStaying(replica) && (target.adapter === undefined || replica.adapters.includes(target.adapter))
+    !req.excludedEngines.has(replica.engine) && isNotLeaving(replica) && (target.adapter === undefined || replica.adapters.includes(target.adapter))
   /**
-   * An engine that has lost its replica since is no longer the one that failed, and its next load may serve. Without
-   * this, a request whose only engine died would wait beside the replica loaded anew until its deadline.
+   * Removes the exclusion of engines that have since lost their replica: a replica loaded there later may serve.
+   * Otherwise a request whose only engine died would wait until its deadline beside the reloaded replica.
    */
-  const forgiveLost = (avoid: Set<string>, all: readonly ReplicaEntry[]): void => {
-    const lost = [...avoid].filter(engine => !all.some(replica => replica.engine === engine))
-    lost.forEach(engine => avoid.delete(engine))
+  const clearLostExclusions = (excludedEngines: Set<string>, all: readonly ReplicaEntry[]): void => {
+    const lost = [...excludedEngines].filter(engine => !all.some(replica => replica.engine === engine))
+    lost.forEach(engine => excludedEngines.delete(engine))
   }
   const choose = (req: ReplicaRequest, target: Target): AcquiredReplica | undefined => {
     const all = cells.replicas.replicasOf(target.model)
-    forgiveLost(req.excludedEngines, all)
+    clearLostExclusions(req.excludedEngines, all)
     const avoidDomains = new Set(all.filter(replica => req.excludedEngines.has(replica.engine)).map(replica => replica.failureDomain))
     const replica = chooseReplica({ replicas: all.filter(candidate => isUsable(req, target, candidate)), prefix: req.prefixHash, loadOf, avoidDomains })
     if (replica === undefined) return undefined
-    count(replica.engine, 1)
+    changeInFlight(replica.engine, 1)
     cells.recordUse(target.model, target.adapter)
-    return { replica, release: releaseOnce(target, replica.engine) }
+    return { replica, release: createRelease(target, replica.engine) }
   }
-  const releaseOnce = ({ model, adapter }: Target, engine: string): () => void => {
+  const createRelease = ({ model, adapter }: Target, engine: string): () => void => {
     let isReleased = false
     return () => {
       if (isReleased) return
       isReleased = true
-      count(engine, -1)
-      // A long answer is use until its end.
+      changeInFlight(engine, -1)
+      // A long answer counts as use until its end.
       cells.recordUse(model, adapter)
     }
   }
-  const refuse = (name: string, model: string): Failure => {
-    const reason = waitingRoom.reasonFor(model)
+  const createTimeoutRefusal = (name: string, model: string): Failure => {
+    const reason = replicaWaits.reasonFor(model)
     return createRefusal('deadline_exceeded', `No replica of ${name} became ready in time${reason === undefined ? '' : `: ${reason}`}.`, RETRY_AFTER_SECONDS)
   }
   return {
     inFlight: engine => inFlight.get(engine) ?? 0,
     acquireReplica: async req => {
       const target = targetOf(req.modelOrAdapter)
-      const immediate = choose(req, target)
-      if (immediate !== undefined) return Ok(immediate)
-      const route = await waitingRoom.wait({
+      const acquiredNow = choose(req, target)
+      if (acquiredNow !== undefined) return Ok(acquiredNow)
+      const acquired = await replicaWaits.wait({
         ...target,
         deadlineMs: req.deadlineMs,
         weight: cfg.team(req.team ?? '')?.weight ?? 1,
         signal: req.signal,
-        attempt: () => choose(req, target)
+        tryAcquire: () => choose(req, target)
       })
-      return route === undefined ? Err(refuse(req.modelOrAdapter, target.model)) : Ok(route)
+      return acquired === undefined ? Err(createTimeoutRefusal(req.modelOrAdapter, target.model)) : Ok(acquired)
     }
   }
 }
--- a/packages/magnoliabay/src/node/routing/replicaWait.ts
+++ b/packages/magnoliabay/src/node/routing/replicaWait.ts
@@ -1,14 +1,14 @@
 /**
- * Requests that wait for a replica: each has one deadline and one timer and settles exactly once; all that wait
- * for one model tell the stewards together.
+ * Requests that wait for a replica. Each has one deadline and one timer and settles exactly once; those that wait for
+ * the same model send one demand together.
  */
 import type { Cells } from '../cells'
 import { sleep } from '../clock'
 import type { CancelTimer, Clock } from '../clock'
 
-/** How often those who wait tell the steward again; it also meets a demand that got lost. */
-const DEMAND_PERIOD_MS = 1000
-const GATHER_MS = 5
+/** Interval at which the demand for a model is repeated, also in case one was lost. */
+const DEMAND_INTERVAL_MS = 1000
+const BATCH_DELAY_MS = 5
 
 export interface WaitRequest<T> {
   model: string
@@ -17,14 +17,14 @@
   deadlineMs: number
   weight: number
   signal: AbortSignal
-  /** Tried whenever something has changed; undefined to go on waiting. */
-  attempt: () => T | undefined
+  /** Called whenever replicas may have changed; returns undefined to keep waiting. */
+  tryAcquire: () => T | undefined
 }
 
-export interface WaitingRoom {
-  /** Resolves to what `attempt` gave, or to undefined at the deadline or when `signal` aborts. */
+export interface ReplicaWaits {
+  /** Resolves to what `tryAcquire` returned, or to undefined at the deadline or when `signal` aborts. */
   wait<T> (req: WaitRequest<T>): Promise<T | undefined>
-  /** Why the model is not there yet, as the steward last said. */
+  /** Why the model is not loaded yet, as last reported by its cell leader. */
   reasonFor (model: string): string | undefined
 }
 
@@ -36,28 +36,28 @@
   retry: () => void
 }
 
-/** Those who wait for one model. */
-interface Room {
-  standing: Set<Waiter>
-  /** Adapters that the steward has been told of in this round. */
-  told: Set<string>
-  isTellingSoon: boolean
+/** Requests that wait for one model. */
+interface ModelWait {
+  waiters: Set<Waiter>
+  /** Adapters that a demand of this round already named. */
+  requestedAdapters: Set<string>
+  isDemandScheduled: boolean
 }
 
-function retryAll (standing: ReadonlySet<Waiter>): void {
-  const all = [...standing]
+function retryAll (waiters: ReadonlySet<Waiter>): void {
+  const all = [...waiters]
   all.forEach(waiter => waiter.retry())
 }
 
-export function createWaitingRoom (cells: Cells, clock: Clock): WaitingRoom {
-  const rooms = new Map<string, Room>()
+export function createReplicaWaits (cells: Cells, clock: Clock): ReplicaWaits {
+  const modelWaits = new Map<string, ModelWait>()
   const reasons = new Map<string, string>()
 
-  const tell = async (model: string, { standing, told }: Room): Promise<void> => {
-    const all = [...standing]
+  const sendDemand = async (model: string, { waiters, requestedAdapters }: ModelWait): Promise<void> => {
+    const all = [...waiters]
     if (all.length === 0) return
     const adapters = [...new Set(all.flatMap(waiter => waiter.adapter ?? []))]
-    adapters.forEach(adapter => told.add(adapter))
+    adapters.forEach(adapter => requestedAdapters.add(adapter))
     const deadlineMs = Math.min(...all.map(waiter => waiter.deadlineMs))
     const reply = await cells.requestReplica({
       model,
@@ -67,40 +67,40 @@
       weight: Math.max(...all.map(waiter => waiter.weight))
     })
     reasons.set(model, reply.reason)
-    // The reply may have brought a table that a lost notice should have brought.
-    retryAll(standing)
+    // The reply may have delivered a table whose notice was lost.
+    retryAll(waiters)
   }
-  /** One loop for each model that is waited for, for as long as anybody waits. */
-  const keepTelling = async (model: string, room: Room): Promise<void> => {
-    while (room.standing.size > 0) {
-      room.told.clear()
-      await tell(model, room)
-      if (room.standing.size > 0) await sleep(clock, DEMAND_PERIOD_MS)
+  /** Repeats the demand for a model for as long as requests wait for it. */
+  const repeatDemand = async (model: string, modelWait: ModelWait): Promise<void> => {
+    while (modelWait.waiters.size > 0) {
+      modelWait.requestedAdapters.clear()
+      await sendDemand(model, modelWait)
+      if (modelWait.waiters.size > 0) await sleep(clock, DEMAND_INTERVAL_MS)
     }
-    if (rooms.get(model) === room) rooms.delete(model)
+    if (modelWaits.get(model) === modelWait) modelWaits.delete(model)
   }
-  /** What the steward has not heard of yet is told at once, together with what else comes in the next moment. */
-  const tellSoon = (model: string, room: Room): void => {
-    if (room.isTellingSoon) return
-    room.isTellingSoon = true
-    clock.schedule(GATHER_MS, () => {
-      room.isTellingSoon = false
-      tell(model, room)
+  /** Sends new demand before the next round, batched with other demand of the next {@link BATCH_DELAY_MS}. */
+  const scheduleDemand = (model: string, modelWait: ModelWait): void => {
+    if (modelWait.isDemandScheduled) return
+    modelWait.isDemandScheduled = true
+    clock.schedule(BATCH_DELAY_MS, () => {
+      modelWait.isDemandScheduled = false
+      sendDemand(model, modelWait)
     })
   }
   const add = (waiter: Waiter): void => {
-    const room = rooms.get(waiter.model)
-    if (room === undefined) {
-      const created: Room = { standing: new Set([waiter]), told: new Set(), isTellingSoon: false }
-      rooms.set(waiter.model, created)
-      keepTelling(waiter.model, created)
+    const modelWait = modelWaits.get(waiter.model)
+    if (modelWait === undefined) {
+      const newWait: ModelWait = { waiters: new Set([waiter]), requestedAdapters: new Set(), isDemandScheduled: false }
+      modelWaits.set(waiter.model, newWait)
+      repeatDemand(waiter.model, newWait)
       return
     }
-    room.standing.add(waiter)
-    const isNews = waiter.adapter !== undefined && !room.told.has(waiter.adapter)
-    if (isNews || room.standing.size === 1) tellSoon(waiter.model, room)
+    modelWait.waiters.add(waiter)
+    const isNewAdapter = waiter.adapter !== undefined && !modelWait.requestedAdapters.has(waiter.adapter)
+    if (isNewAdapter || modelWait.waiters.size === 1) scheduleDemand(waiter.model, modelWait)
   }
-  cells.replicas.onChanged(() => rooms.forEach(room => retryAll(room.standing)))
+  cells.replicas.onChanged(() => modelWaits.forEach(modelWait => retryAll(modelWait.waiters)))
 
   return {
     reasonFor: model => reasons.get(model),
@@ -108,14 +108,14 @@
       if (req.signal.aborted) return resolve(undefined)
       let cancelTimer: CancelTimer = () => {}
       const settle = (value: T | undefined): void => {
-        rooms.get(req.model)?.standing.delete(waiter)
+        modelWaits.get(req.model)?.waiters.delete(waiter)
         cancelTimer()
         req.signal.removeEventListener('abort', giveUp)
         resolve(value)
       }
       const giveUp = (): void => settle(undefined)
       const retry = (): void => {
-        const value = req.attempt()
+        const value = req.tryAcquire()
         if (value !== undefined) settle(value)
       }
       const waiter: Waiter = { model: req.model, adapter: req.adapter, deadlineMs: req.deadlineMs, weight: req.weight, retry }
