--- a/bench/relay/writes.ts
+++ b/bench/relay/writes.ts
@@ -60,7 +60,7 @@
     if (claimed.err || claimed.val.kind !== 'claimed') return
     ran += 1
     await sleep(clock, SERVICE_MS)
-    at.storeAnswer(claimed.val.claim, { status: 200, contentType: 'application/json', body: Buffer.alloc(300) })
+    at.storeResponse(claimed.val.claim, { status: 200, contentType: 'application/json', body: Buffer.alloc(300) })
   }
   Array.from({ length: total }, (_, index) => clock.schedule(random() * SECONDS * MS_PER_SECOND, () => { request(index) }))
   await clock.advance((SECONDS + 2) * MS_PER_SECOND)
--- a/packages/magnoliabay/src/node/entry/services.ts
+++ b/packages/magnoliabay/src/node/entry/services.ts
@@ -60,7 +60,7 @@
   /** Goes on to the end though the caller has gone: it will ask again, and then its answer is there. */
   const sendClaimed = async (req: EntryRequest, call: ServiceCall, claim: IdempotencyClaim): Promise<Result<ServiceResponse, Failure>> => {
     const answer = await attempts.run(req, call, NEVER)
-    if (answer.ok) once.storeAnswer(claim, answer.val)
+    if (answer.ok) once.storeResponse(claim, answer.val)
     else if (req.execution.state() === 'untouched') await once.release(claim)
     return answer
   }
--- a/packages/magnoliabay/src/node/once/batchWriter.ts
+++ b/packages/magnoliabay/src/node/once/batchWriter.ts
@@ -1,8 +1,8 @@
 /**
- * Writes claims in groups, several in one transaction of the store.
+ * Writes claims in batches, each in one transaction of the store.
  *
- * A transaction takes effect as a whole or not at all, so that one loser would fail its whole group. The
- * losers are then found by reading, and the others written again: repeats are rare, and reads are cheap.
+ * A transaction is atomic, so one conflicting write fails its whole batch. Conflicting writes are then found
+ * by reading their keys, and the others are written again: repeats are rare, and reads are cheap.
  */
 import type { Clock } from '../clock'
 import type { Store, StoreError } from '../store'
@@ -15,122 +15,122 @@
   store: Store
   lease: RetentionLease
   clock: Clock
-  /** After a group, the next waits this long for others to join, milliseconds. @default 50 */
+  /** Time for which writes are collected after a batch, milliseconds. @default 50 */
   batchWindowMs?: number
-  /** Writes in one transaction; the store takes 128 operations. @default 100 */
+  /** Maximum number of writes in one transaction; the store accepts 128 operations. @default 100 */
   maxWrites?: number
 }
 
-const WINDOW_MS = 50
-const MAX_WRITES = 100
-const MAX_GROUP_BYTES = 1_000_000
-/** A group that keeps losing members to others goes on one write at a time. */
-const GROUP_ROUNDS = 3
-/** Keys of claims written here lately, about 2 MB. A hint only: what the store holds decides. */
+const DEFAULT_BATCH_WINDOW_MS = 50
+const DEFAULT_MAX_WRITES = 100
+const MAX_BATCH_BYTES = 1_000_000
+/** After this many retries, the writes of a batch with conflicts are committed individually. */
+const MAX_BATCH_RETRIES = 3
+/** Number of recently claimed keys kept in memory, about 2 MB. They are only a hint; the store decides. */
 const MAX_RECENT_KEYS = 20_000
-const PRIORITY = { priority: 'once' } as const
+const STORE_OPTIONS = { priority: 'once' } as const
 
-interface Waiting {
+interface QueuedWrite {
   write: ClaimWrite
   settle: (outcome: WriteOutcome) => void
 }
 
 export function createBatchWriter (options: BatchWriterOptions): ClaimWriter {
   const { store, lease, clock } = options
-  const windowMs = options.batchWindowMs ?? WINDOW_MS
-  const maxWrites = options.maxWrites ?? MAX_WRITES
-  let queue: Waiting[] = []
+  const batchWindowMs = options.batchWindowMs ?? DEFAULT_BATCH_WINDOW_MS
+  const maxWrites = options.maxWrites ?? DEFAULT_MAX_WRITES
+  let queue: QueuedWrite[] = []
   let isWindowOpen = false
-  const claimedHere = createRecentKeys(MAX_RECENT_KEYS)
+  const recentClaimKeys = createRecentKeys(MAX_RECENT_KEYS)
 
-  /** A transaction may name a key only once; what doesn't fit waits for the next group. */
-  const takeGroup = (): Waiting[] => {
+  /** Takes the writes of one transaction off the queue. A key may occur only once in it; what doesn't fit stays queued. */
+  const takeBatch = (): QueuedWrite[] => {
     const keys = new Set<string>()
     let bytes = 0
-    const group = queue.filter(({ write }) => {
-      const fits = keys.size < maxWrites && !keys.has(write.key) && (keys.size === 0 || bytes + sizeOf(write) <= MAX_GROUP_BYTES)
+    const batch = queue.filter(({ write }) => {
+      const fits = keys.size < maxWrites && !keys.has(write.key) && (keys.size === 0 || bytes + sizeOf(write) <= MAX_BATCH_BYTES)
       if (!fits) return false
       keys.add(write.key)
       bytes += sizeOf(write)
       return true
     })
-    const taken = new Set(group)
-    queue = queue.filter(waiting => !taken.has(waiting))
-    return group
+    const taken = new Set(batch)
+    queue = queue.filter(queued => !taken.has(queued))
+    return batch
   }
   const flush = (): void => {
     isWindowOpen = queue.length > 0
     if (!isWindowOpen) return
-    clock.schedule(windowMs, flush)
-    carryOut(takeGroup(), GROUP_ROUNDS)
+    clock.schedule(batchWindowMs, flush)
+    commitBatch(takeBatch(), MAX_BATCH_RETRIES)
   }
-  const carryOut = async (group: readonly Waiting[], rounds: number): Promise<void> => {
-    if (group.length === 0) return
+  const commitBatch = async (batch: readonly QueuedWrite[], retriesLeft: number): Promise<void> => {
+    if (batch.length === 0) return
     const granted = await lease.current()
-    if (granted.err) return settleAll(group, 'unavailable')
-    const written = await store.transact(transactionOf(group.map(({ write }) => write), granted.val), PRIORITY)
-    if (written.ok) return written.val.succeeded ? settleAll(group, 'done') : await withoutLosers(group, rounds)
-    if (written.val.kind === 'lease-lost' && rounds > 0) {
+    if (granted.err) return settleAll(batch, 'unavailable')
+    const written = await store.transact(transactionOf(batch.map(({ write }) => write), granted.val), STORE_OPTIONS)
+    if (written.ok) return written.val.succeeded ? settleAll(batch, 'done') : await retryOpenWrites(batch, retriesLeft)
+    if (written.val.kind === 'lease-lost' && retriesLeft > 0) {
       lease.invalidate(granted.val)
-      return await carryOut(group, rounds - 1)
+      return await commitBatch(batch, retriesLeft - 1)
     }
-    if (written.val.kind === 'unknown') return await readBack(group)
-    // One write that the store won't take must not fail those that happened to be grouped with it.
-    if (written.val.kind === 'invalid' && group.length > 1) return await oneByOne(group)
-    settleAll(group, outcomeOf(written.val))
+    if (written.val.kind === 'unknown') return await resolveUnknownOutcome(batch)
+    // A write that the store rejects as invalid must not fail the other writes of its batch.
+    if (written.val.kind === 'invalid' && batch.length > 1) return await commitIndividually(batch)
+    settleAll(batch, outcomeOf(written.val))
   }
-  const withoutLosers = async (group: readonly Waiting[], rounds: number): Promise<void> => {
-    if (group.length === 1) return await settleByReading(group, 'unavailable')
-    const stands = await Promise.all(group.map(async waiting => await standOf(waiting.write)))
-    group.forEach(({ settle }, index) => {
-      const stand = stands[index]!
-      if (stand !== 'open') settle(stand === 'unread' ? 'unavailable' : stand)
+  const retryOpenWrites = async (batch: readonly QueuedWrite[], retriesLeft: number): Promise<void> => {
+    if (batch.length === 1) return await settleByReading(batch, 'unavailable')
+    const states = await Promise.all(batch.map(async queued => await readWriteState(queued.write)))
+    batch.forEach(({ settle }, index) => {
+      const state = states[index]!
+      if (state !== 'open') settle(state === 'unread' ? 'unavailable' : state)
     })
-    const open = group.filter((_waiting, index) => stands[index] === 'open')
-    if (rounds > 0) return await carryOut(open, rounds - 1)
-    await oneByOne(open)
+    const open = batch.filter((_queued, index) => states[index] === 'open')
+    if (retriesLeft > 0) return await commitBatch(open, retriesLeft - 1)
+    await commitIndividually(open)
   }
-  const oneByOne = async (group: readonly Waiting[]): Promise<void> => {
-    await Promise.all(group.map(waiting => carryOut([waiting], 0)))
+  const commitIndividually = async (batch: readonly QueuedWrite[]): Promise<void> => {
+    await Promise.all(batch.map(queued => commitBatch([queued], 0)))
   }
-  /** The answer was lost: what the store holds tells which of the group took effect. */
-  const readBack = async (group: readonly Waiting[]): Promise<void> => await settleByReading(group, 'unknown')
-  const settleByReading = async (group: readonly Waiting[], otherwise: WriteOutcome): Promise<void> => {
-    await Promise.all(group.map(async ({ write, settle }) => {
-      const stand = await standOf(write)
-      settle(stand === 'done' || stand === 'lost' ? stand : otherwise)
+  /** The store's response was lost, so its values tell which writes of the batch took effect. */
+  const resolveUnknownOutcome = async (batch: readonly QueuedWrite[]): Promise<void> => await settleByReading(batch, 'unknown')
+  const settleByReading = async (batch: readonly QueuedWrite[], fallback: WriteOutcome): Promise<void> => {
+    await Promise.all(batch.map(async ({ write, settle }) => {
+      const state = await readWriteState(write)
+      settle(state === 'done' || state === 'lost' ? state : fallback)
     }))
   }
   /** `open`: the write would still take effect. */
-  const standOf = async (write: ClaimWrite): Promise<'done' | 'lost' | 'open' | 'unread'> => {
-    const found = await store.get(write.key, PRIORITY)
+  const readWriteState = async (write: ClaimWrite): Promise<'done' | 'lost' | 'open' | 'unread'> => {
+    const found = await store.get(write.key, STORE_OPTIONS)
     if (found.err) return 'unread'
     const value = found.val?.value
-    return STANDS[write.kind](write as never, value)
+    return WRITE_STATE_BY_KIND[write.kind](write as never, value)
   }
-  const enqueue = (waiting: Waiting): void => {
-    queue.push(waiting)
-    // A full group gains nothing by waiting, and would hold up those behind it: a writer that sent one
-    // group in each window fell behind at 1,200 requests a second, and its callers were refused.
-    if (queue.length >= maxWrites) carryOut(takeGroup(), GROUP_ROUNDS)
+  const enqueue = (queued: QueuedWrite): void => {
+    queue.push(queued)
+    // A full batch is sent at once: one batch per window was too slow for 1,200 requests per second, and
+    // callers were refused.
+    if (queue.length >= maxWrites) commitBatch(takeBatch(), MAX_BATCH_RETRIES)
     if (isWindowOpen) return
     isWindowOpen = true
-    // The first after a calm time doesn't wait; only those that come close behind it are grouped.
+    // The first write after an idle time is not delayed; only writes that follow within the window are batched.
     clock.schedule(0, flush)
   }
-  /** A repeat would fail its whole group, and each of that would have to be read: it is read alone before. */
-  const readFirst = async (waiting: Waiting): Promise<void> => {
-    const stand = await standOf(waiting.write)
-    if (stand === 'open') return enqueue(waiting)
-    waiting.settle(stand === 'unread' ? 'unavailable' : stand)
+  /** Reads the key of a repeated claim first, since a conflict would fail its batch and cost a read for each write. */
+  const enqueueUnlessResolved = async (queued: QueuedWrite): Promise<void> => {
+    const state = await readWriteState(queued.write)
+    if (state === 'open') return enqueue(queued)
+    queued.settle(state === 'unread' ? 'unavailable' : state)
   }
   return {
     write: write => new Promise(resolve => {
-      const waiting = { write, settle: resolve }
-      if (write.kind !== 'claim') return enqueue(waiting)
-      if (claimedHere.has(write.key)) return readFirst(waiting)
-      claimedHere.add(write.key)
-      enqueue(waiting)
+      const queued = { write, settle: resolve }
+      if (write.kind !== 'claim') return enqueue(queued)
+      if (recentClaimKeys.has(write.key)) return enqueueUnlessResolved(queued)
+      recentClaimKeys.add(write.key)
+      enqueue(queued)
     })
   }
 }
@@ -140,23 +140,23 @@
   add (key: string): void
 }
 
-/** The keys added last, `max` of them at most. */
-function createRecentKeys (max: number): RecentKeys {
+/** Keeps the `maxKeys` most recently added keys. */
+function createRecentKeys (maxKeys: number): RecentKeys {
   const keys = new Set<string>()
   return {
     has: key => keys.has(key),
     add: key => {
       keys.add(key)
       const [oldest] = keys
-      if (keys.size > max && oldest !== undefined) keys.delete(oldest)
+      if (keys.size > maxKeys && oldest !== undefined) keys.delete(oldest)
     }
   }
 }
 
-type Stand = 'done' | 'lost' | 'open'
+type WriteState = 'done' | 'lost' | 'open'
 type WriteOf<Kind extends ClaimWrite['kind']> = Extract<ClaimWrite, { kind: Kind }>
 
-const STANDS: { [Kind in ClaimWrite['kind']]: (write: WriteOf<Kind>, found: string | undefined) => Stand } = {
+const WRITE_STATE_BY_KIND: { [Kind in ClaimWrite['kind']]: (write: WriteOf<Kind>, found: string | undefined) => WriteState } = {
   claim: (write, found) => found === undefined ? 'open' : found === write.value ? 'done' : 'lost',
   replace: (write, found) => found === write.value ? 'done' : found === write.expected ? 'open' : 'lost',
   remove: (write, found) => found === undefined ? 'done' : found === write.expected ? 'open' : 'lost',
@@ -186,6 +186,6 @@
   return err.kind === 'unknown' ? 'unknown' : 'unavailable'
 }
 
-function settleAll (group: readonly Waiting[], outcome: WriteOutcome): void {
-  group.forEach(({ settle }) => settle(outcome))
+function settleAll (batch: readonly QueuedWrite[], outcome: WriteOutcome): void {
+  batch.forEach(({ settle }) => settle(outcome))
 }
--- a/packages/magnoliabay/src/node/once/claimRecord.ts
+++ b/packages/magnoliabay/src/node/once/claimRecord.ts
@@ -1,4 +1,4 @@
-/** A claim as the store holds it. */
+/** Stored form of claims, and their keys. */
 import { createHash } from 'node:crypto'
 import { STORE_KEY_PREFIX } from '../constants'
 
@@ -13,25 +13,25 @@
   body: Buffer
 }
 
-export interface AnswerRecord {
+export interface ResponseRecord {
   status: number
   contentType: string
-  /** Body in base64; empty when it stands in parts. */
+  /** Body in base64; empty if it is stored in parts. */
   body: string
-  /** Keys that hold the body, in order. */
+  /** Keys of the body's parts, in order. */
   parts: readonly string[]
 }
 
 export interface ClaimRecord {
-  /** Unique for each attempt to claim: tells after a lost answer whether the claim is ours. */
+  /** Unique for each attempt to claim; shows after a lost response of the store whether this attempt succeeded. */
   claimId: string
-  /** Incarnation that holds the claim. */
+  /** Incarnation of the instance that holds the claim. */
   holder: string
-  /** Of method, path and body: the same key with another request is a conflict. */
+  /** Digest of method, path and body; the same key with a different digest is a conflict. */
   digest: string
-  /** Unix epoch milliseconds. Only for what a repeat is told, never for what is done. */
+  /** Unix epoch milliseconds. Selects only the failure that a repeat gets; no other decision depends on it. */
   claimedAtMs: number
-  answer?: AnswerRecord
+  answer?: ResponseRecord
 }
 
 export function claimKeyOf (req: ClaimRequest): string {
--- a/packages/magnoliabay/src/node/once/claimWriter.ts
+++ b/packages/magnoliabay/src/node/once/claimWriter.ts
@@ -1,6 +1,9 @@
-/** Writes about claims, and what can become of them. */
+/** Write operations on claims and their outcomes. */
 
-/** `claim`: create it, if nobody has. `replace`, `remove`: change the claim that reads `expected`. */
+/**
+ * `claim`: creates the claim if the key is free. `replace`, `remove`: change the claim if its value is `expected`.
+ * `part`: writes a part of a stored response.
+ */
 export type ClaimWrite =
   | { kind: 'claim', key: string, value: string }
   | { kind: 'replace', key: string, value: string, expected: string }
@@ -8,8 +11,8 @@
   | { kind: 'part', key: string, value: string }
 
 /**
- * `done`: in force. `lost`: the key reads otherwise, and nothing was changed. `unavailable`: certainly not
- * carried out. `unknown`: may have been carried out, or may yet be.
+ * `done`: applied. `lost`: the key has another value, and nothing was changed. `unavailable`: certainly not
+ * applied. `unknown`: may have been applied, or may still be.
  */
 export type WriteOutcome = 'done' | 'lost' | 'unavailable' | 'unknown'
 
--- a/packages/magnoliabay/src/node/once/index.ts
+++ b/packages/magnoliabay/src/node/once/index.ts
@@ -1,7 +1,7 @@
 /**
- * Claims for non-idempotent requests: whoever holds the claim may send, everybody else gets the kept answer.
- * Nobody but its holder ever sends under a claim, and a claim is never taken over: when its holder dies, the
- * request stays *may have run* until the claim's retention runs out.
+ * Claims for non-idempotent requests: the holder of the claim sends the request, and repeats get the stored
+ * response. Only the holder ever sends under a claim, and a claim is never taken over: if its holder dies,
+ * the request stays *may have run* until the claim's retention expires.
  */
 import type { ServiceResponse } from '../backend/serviceCall'
 import type { Clock } from '../clock'
@@ -13,8 +13,8 @@
 import { Err, Ok } from '../result'
 import type { Result } from '../result'
 import { createId } from '../utils'
-import { readAnswer, writeAnswer } from './answers'
-import type { StoredClaim } from './answers'
+import { readResponse, writeResponse } from './storedResponses'
+import type { StoredClaim } from './storedResponses'
 import { claimKeyOf, requestDigestOf } from './claimRecord'
 import type { ClaimRecord, ClaimRequest } from './claimRecord'
 import type { ClaimWriter } from './claimWriter'
@@ -26,27 +26,27 @@
 export type IdempotencyClaim = StoredClaim
 
 const RETRY_AFTER_SECONDS = 1
-const RETRY_MS = 1000
-/** Between reads of a claim that has no answer yet, milliseconds; then its caller is told to ask again. */
-const ANSWER_WAITS_MS: readonly number[] = [50, 100, 200, 400]
-/** Answers that wait for the store to come back, over all requests. */
-const MAX_WAITING_ANSWERS = 1000
-const ANSWER_TRIES = 300
-const RELEASE_TRIES = 60
-const ONCE = { priority: 'once' } as const
+const RETRY_DELAY_MS = 1000
+/** Delays between reads of a claim without a response; after the last one, the caller is asked to retry. */
+const RESPONSE_POLL_DELAYS_MS: readonly number[] = [50, 100, 200, 400]
+/** Responses are not stored while this many writes, over all requests, wait for the store. */
+const MAX_PENDING_WRITES = 1000
+const MAX_STORE_ATTEMPTS = 300
+const MAX_RELEASE_ATTEMPTS = 60
+const READ_OPTIONS = { priority: 'once' } as const
 
-/** `claimed`: send it, once. `answered`: it ran before, this is its answer. */
+/** `claimed`: the caller of `claim` must send the request, once. `answered`: it ran before; `answer` is its response. */
 export type ClaimOutcome =
   | { kind: 'claimed', claim: IdempotencyClaim }
   | { kind: 'answered', answer: ServiceResponse }
 
 export interface IdempotencyClaims {
   claim (req: ClaimRequest): Promise<Result<ClaimOutcome, Failure>>
-  /** Keeps the answer with the claim, in the background, through an outage of the store. */
-  storeAnswer (claim: IdempotencyClaim, answer: ServiceResponse): void
-  /** Gives the claim back: certainly nothing was sent. */
+  /** Stores the response with the claim in the background, and retries while the store is unavailable. */
+  storeResponse (claim: IdempotencyClaim, response: ServiceResponse): void
+  /** Removes the claim of a request that was certainly not sent. */
   release (claim: IdempotencyClaim): Promise<void>
-  /** Resolves when no answer waits to be kept any more. */
+  /** Resolves when no write is pending. */
   waitForPendingWrites (): Promise<void>
 }
 
@@ -56,40 +56,40 @@
   holder: string
   clock: Clock
   logger: Logger
-  /** After this long, a claim without an answer is taken to have lost its holder. Milliseconds. */
+  /** Age in milliseconds above which the holder of a claim without a response is presumed dead. */
   inProgressTimeoutMs: number
 }
 
 export function createIdempotencyClaims (options: IdempotencyClaimsOptions): IdempotencyClaims {
   const { store, writer, clock, logger } = options
-  const waiting = new Set<Promise<void>>()
+  const pendingWrites = new Set<Promise<void>>()
 
-  /** The holder's answer reaches its caller before the store: a repeat right behind it waits for it a little. */
-  const resolveExisting = async (key: string, mine: ClaimRecord): Promise<Result<ClaimOutcome, Failure>> => {
-    for (const waitMs of ANSWER_WAITS_MS) {
-      const existing = await readExisting(key, mine)
+  /** Waits a short time for the response of another holder, which reaches its caller before the store. */
+  const waitForResponse = async (key: string, ownRecord: ClaimRecord): Promise<Result<ClaimOutcome, Failure>> => {
+    for (const waitMs of RESPONSE_POLL_DELAYS_MS) {
+      const existing = await readExistingClaim(key, ownRecord)
       if (existing.ok || existing.val.code !== 'idempotency_in_progress') return existing
       await sleep(clock, waitMs)
     }
-    return await readExisting(key, mine)
+    return await readExistingClaim(key, ownRecord)
   }
-  const readExisting = async (key: string, mine: ClaimRecord): Promise<Result<ClaimOutcome, Failure>> => {
-    const found = await store.get(key, ONCE)
-    if (found.err || found.val === undefined) return Err(storeDark())
+  const readExistingClaim = async (key: string, ownRecord: ClaimRecord): Promise<Result<ClaimOutcome, Failure>> => {
+    const found = await store.get(key, READ_OPTIONS)
+    if (found.err || found.val === undefined) return Err(createStoreUnavailableFailure())
     const record = JSON.parse(found.val.value) as ClaimRecord
-    if (record.claimId === mine.claimId) return Ok({ kind: 'claimed', claim: { key, record: mine } })
-    if (record.digest !== mine.digest) {
+    if (record.claimId === ownRecord.claimId) return Ok({ kind: 'claimed', claim: { key, record: ownRecord } })
+    if (record.digest !== ownRecord.digest) {
       return Err(createRefusal('idempotency_conflict', 'This Idempotency-Key was used before with another request. Use a new key for a new request.'))
     }
-    if (record.answer === undefined) return Err(withoutAnswer(record, clock.now(), options.inProgressTimeoutMs))
-    const answer = await readAnswer(store, record.answer)
-    if (answer === undefined) return Err(answerUnread())
-    return Ok({ kind: 'answered', answer })
+    if (record.answer === undefined) return Err(createNoResponseFailure(record, clock.now(), options.inProgressTimeoutMs))
+    const response = await readResponse(store, record.answer)
+    if (response === undefined) return Err(createResponseUnreadableFailure())
+    return Ok({ kind: 'answered', answer: response })
   }
-  const keepAnswer = async (claim: IdempotencyClaim, answer: ServiceResponse): Promise<void> => {
-    for (let tries = 0; tries < ANSWER_TRIES; tries += 1) {
-      if (await writeAnswer(writer, claim, answer)) return
-      await sleep(clock, RETRY_MS)
+  const retryStoreResponse = async (claim: IdempotencyClaim, response: ServiceResponse): Promise<void> => {
+    for (let attempt = 0; attempt < MAX_STORE_ATTEMPTS; attempt += 1) {
+      if (await writeResponse(writer, claim, response)) return
+      await sleep(clock, RETRY_DELAY_MS)
     }
     logger.warn('answer-not-kept', { claim: claim.record.claimId, reason: 'store unavailable for too long' })
   }
@@ -97,17 +97,17 @@
     const outcome = await writer.write({ kind: 'remove', key: claim.key, expected: JSON.stringify(claim.record) })
     return outcome === 'done' || outcome === 'lost'
   }
-  /** Left standing, the claim would refuse for its whole retention what never ran. */
+  /** Retries the removal, since a remaining claim would block a request that never ran for the whole retention. */
   const retryRelease = async (claim: IdempotencyClaim): Promise<void> => {
-    for (let tries = 0; tries < RELEASE_TRIES; tries += 1) {
-      await sleep(clock, RETRY_MS)
+    for (let attempt = 0; attempt < MAX_RELEASE_ATTEMPTS; attempt += 1) {
+      await sleep(clock, RETRY_DELAY_MS)
       if (await removeClaim(claim)) return
     }
     logger.warn('claim-not-released', { claim: claim.record.claimId, reason: 'store unavailable for too long' })
   }
   const runInBackground = (task: Promise<void>): void => {
-    const tracked = task.finally(() => waiting.delete(tracked))
-    waiting.add(tracked)
+    const tracked = task.finally(() => pendingWrites.delete(tracked))
+    pendingWrites.add(tracked)
   }
   return {
     claim: async req => {
@@ -120,36 +120,36 @@
       }
       const outcome = await writer.write({ kind: 'claim', key, value: JSON.stringify(record) })
       if (outcome === 'done') return Ok({ kind: 'claimed', claim: { key, record } })
-      if (outcome === 'unavailable') return Err(storeDark())
-      return await resolveExisting(key, record)
+      if (outcome === 'unavailable') return Err(createStoreUnavailableFailure())
+      return await waitForResponse(key, record)
     },
-    storeAnswer: (claim, answer) => {
-      if (waiting.size >= MAX_WAITING_ANSWERS) {
-        return logger.warn('answer-not-kept', { claim: claim.record.claimId, reason: 'too many answers wait for the store' })
+    storeResponse: (claim, response) => {
+      if (pendingWrites.size >= MAX_PENDING_WRITES) {
+        return logger.warn('answer-not-kept', { claim: claim.record.claimId, reason: 'too many responses wait for the store' })
       }
-      runInBackground(keepAnswer(claim, answer))
+      runInBackground(retryStoreResponse(claim, response))
     },
     release: async claim => {
       if (await removeClaim(claim)) return
       runInBackground(retryRelease(claim))
     },
-    waitForPendingWrites: async () => { await Promise.all([...waiting]) }
+    waitForPendingWrites: async () => { await Promise.all([...pendingWrites]) }
   }
 }
 
-function storeDark (): Failure {
+function createStoreUnavailableFailure (): Failure {
   return createRefusal('store_unavailable', 'The claim for this request cannot be recorded just now, so it was not sent.', RETRY_AFTER_SECONDS)
 }
 
-function answerUnread (): Failure {
+function createResponseUnreadableFailure (): Failure {
   return {
     ...createIndeterminateFailure('store_unavailable', 'The request has run; its answer cannot be read just now. Ask again with the same key.'),
     retryAfterSeconds: RETRY_AFTER_SECONDS
   }
 }
 
-function withoutAnswer (record: ClaimRecord, nowMs: number, inProgressMs: number): Failure {
-  if (nowMs - record.claimedAtMs > inProgressMs) {
+function createNoResponseFailure (record: ClaimRecord, nowMs: number, inProgressTimeoutMs: number): Failure {
+  if (nowMs - record.claimedAtMs > inProgressTimeoutMs) {
     return createIndeterminateFailure('may_have_run', 'The request may have run, and its answer was lost. It will not be run again under this key.')
   }
   return {
