--- a/packages/magnoliabay/src/node/outcomes/crashCheck.ts
+++ b/packages/magnoliabay/src/node/outcomes/crashCheck.ts
@@ -1,19 +1,19 @@
-/** Tells an engine whose process died from a connection that merely broke. */
+/** Distinguishes an engine whose process died from a broken connection. */
 import type { EngineClient } from '../backend/engineClient'
 
 export type CrashCheck = (address: string) => Promise<boolean>
 
 /**
- * Asks on a connection of its own: nobody listening, or a process that has started anew since it was last
- * asked, means that the one before has died.
+ * Asks the engine for its state on a separate connection. The process died if nothing is listening, or if
+ * the engine's incarnation has changed since the previous check.
  */
 export function createCrashCheck (engines: Pick<EngineClient, 'state'>): CrashCheck {
   const incarnations = new Map<string, string>()
   return async address => {
-    const answer = await engines.state(address)
-    if (answer.err) return answer.val.kind === 'not-sent'
-    const before = incarnations.get(address)
-    incarnations.set(address, answer.val.incarnation)
-    return before !== undefined && before !== answer.val.incarnation
+    const state = await engines.state(address)
+    if (state.err) return state.val.kind === 'not-sent'
+    const previous = incarnations.get(address)
+    incarnations.set(address, state.val.incarnation)
+    return previous !== undefined && previous !== state.val.incarnation
   }
 }
--- a/packages/magnoliabay/src/node/outcomes/executionTracker.ts
+++ b/packages/magnoliabay/src/node/outcomes/executionTracker.ts
@@ -1,27 +1,27 @@
 /**
- * What became of a request so far, over all its attempts: the only place that decides whether *not run* may
- * be said of it.
+ * Tracks over all attempts whether a request may have run. Only this module decides whether a failure is
+ * reported as *not run*.
  */
 import { createMachine, interpret, state, transition } from 'robot3'
 import type { Failure } from '../failures'
 import type { RequestOutcome } from './outcome'
 
 /**
- * `untouched`: nothing can have run. `sent`: an attempt is out. `tainted`: an attempt may have run, and
- * nothing that happens elsewhere afterwards can take that back.
+ * `untouched`: no attempt can have run. `sent`: an attempt is in flight. `tainted`: an attempt may have run;
+ * this state is final, whatever happens to later attempts.
  */
 export type ExecutionState = 'untouched' | 'sent' | 'tainted'
 
 /**
- * `send`: an attempt goes out. `disclaim`: it certainly didn't run (never sent, or the backend server said so).
- * `lose`: it ended in any other way.
+ * `send`: an attempt starts. `disclaim`: it certainly didn't run (never sent, or the backend server reported
+ * so). `lose`: it ended in any other way.
  */
 export type ExecutionEvent = 'send' | 'disclaim' | 'lose'
 
 export interface ExecutionTracker {
   record (event: ExecutionEvent): void
   state (): ExecutionState
-  /** The failure as it may be told: *not run* only while that is true of every attempt. */
+  /** Turns a failure into the request's outcome; it is *not run* only if no attempt may have run. */
   conclude (failure: Failure): RequestOutcome
 }
 
--- a/packages/magnoliabay/src/node/outcomes/index.ts
+++ b/packages/magnoliabay/src/node/outcomes/index.ts
@@ -1,4 +1,4 @@
-/** How requests end: one type, and the one account of whether anything may have run. */
+/** Outcomes of requests, execution tracking, retry budgets and requests that crash engines. */
 export { createExecutionTracker } from './executionTracker'
 export type { ExecutionTracker } from './executionTracker'
 export type { RequestOutcome } from './outcome'
--- a/packages/magnoliabay/src/node/outcomes/mutex.ts
+++ b/packages/magnoliabay/src/node/outcomes/mutex.ts
@@ -1,20 +1,20 @@
-/** A lane that one at a time may use, in order of arrival. */
+/** A mutex with first-in, first-out order. */
 
-export interface Lane {
-  /** Resolves when the lane is free, or when `signal` aborts; call what it resolves to on leaving. */
-  enter (signal: AbortSignal): Promise<() => void>
+export interface Mutex {
+  /** Resolves when the mutex is free, or when `signal` aborts; the result releases it and must be called in either case. */
+  acquire (signal: AbortSignal): Promise<() => void>
 }
 
-export function createLane (): Lane {
-  let tail: Promise<void> = Promise.resolve()
+export function createMutex (): Mutex {
+  let lastReleased: Promise<void> = Promise.resolve()
   return {
-    enter: async signal => {
-      const before = tail
-      let leave = (): void => {}
-      const left = new Promise<void>(resolve => { leave = resolve })
-      tail = before.then(() => left)
-      await Promise.race([before, aborted(signal)])
-      return leave
+    acquire: async signal => {
+      const previous = lastReleased
+      let release = (): void => {}
+      const released = new Promise<void>(resolve => { release = resolve })
+      lastReleased = previous.then(() => released)
+      await Promise.race([previous, aborted(signal)])
+      return release
     }
   }
 }
--- a/packages/magnoliabay/src/node/outcomes/outcome.ts
+++ b/packages/magnoliabay/src/node/outcomes/outcome.ts
@@ -1,9 +1,9 @@
-/** How a request ended. */
+/** Outcome of a request. */
 import type { Failure } from '../failures'
 
 export type RequestOutcome =
-  /** The whole answer went to the caller. `usedTokens` is undefined when the backend server didn't say. */
+  /** The caller got the complete response. `usedTokens` is undefined if the backend server reported none. */
   | { kind: 'answered', usedTokens?: number }
-  /** Nothing of it ran on any backend server. */
+  /** The request ran on no backend server. */
   | { kind: 'refused-not-run', failure: Failure }
   | { kind: 'failed-may-have-run', failure: Failure }
--- a/packages/magnoliabay/src/node/outcomes/retryBudget.ts
+++ b/packages/magnoliabay/src/node/outcomes/retryBudget.ts
@@ -1,37 +1,37 @@
 /**
- * Retries as a share of traffic. Without it, retries multiply the load just when backend servers fail from
- * it, and keep them down.
+ * Limits retries to a fraction of the traffic. Unlimited retries multiply the load on backend servers that
+ * fail from overload, and keep them from recovering.
  */
 
 export interface RetryBudgetOptions {
   /** Retries allowed for each first attempt. @default 0.1 */
   retriesPerRequest?: number
-  /** Retries allowed at once after a calm time, so that a rarely used fleet can retry at all; asked anew each time. @default 10 */
+  /** Maximum number of unused retries, so that a fleet with little traffic can retry at all; a function is called at each use. @default 10 */
   burst?: number | (() => number)
 }
 
 export interface RetryBudget {
   recordFirstAttempt (): void
-  /** Takes one retry, or says that there is none left. */
+  /** Takes one retry; returns false if none is left. */
   tryTake (): boolean
   remaining (): number
 }
 
-const SHARE = 0.1
-const RESERVE = 10
+const DEFAULT_RETRIES_PER_REQUEST = 0.1
+const DEFAULT_BURST = 10
 
 export function createRetryBudget (options: RetryBudgetOptions = {}): RetryBudget {
-  const share = options.retriesPerRequest ?? SHARE
-  const { burst: reserve = RESERVE } = options
-  const most = (): number => typeof reserve === 'number' ? reserve : reserve()
-  let left = most()
+  const retriesPerRequest = options.retriesPerRequest ?? DEFAULT_RETRIES_PER_REQUEST
+  const { burst = DEFAULT_BURST } = options
+  const maxAvailable = (): number => typeof burst === 'number' ? burst : burst()
+  let available = maxAvailable()
   return {
-    recordFirstAttempt: () => { left = Math.min(most(), left + share) },
+    recordFirstAttempt: () => { available = Math.min(maxAvailable(), available + retriesPerRequest) },
     tryTake: () => {
-      if (left < 1) return false
-      left -= 1
+      if (available < 1) return false
+      available -= 1
       return true
     },
-    remaining: () => left
+    remaining: () => available
   }
 }
--- a/packages/magnoliabay/src/node/outcomes/suspects.ts
+++ b/packages/magnoliabay/src/node/outcomes/suspects.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that were on an engine when its process died. Now and then one request kills every engine that
- * runs it, and its caller sends it again elsewhere: without this, one caller takes down a fleet of engines.
+ * Tracks requests that were running on an engine when its process died. A request that crashes every engine
+ * it runs on, and that its caller retries, could otherwise take down the whole fleet of engines.
  */
 import { createHash } from 'node:crypto'
 import type { Clock } from '../clock'
@@ -8,24 +8,24 @@
 import { definePeerNotice } from '../members'
 import type { Peers } from '../members'
 import type { CrashCheck } from './crashCheck'
-import { createLane } from './mutex'
+import { createMutex } from './mutex'
 
-/** `suspect`: was there when one engine died; run it apart. `refused`: there twice, never run it again. */
+/** `suspect`: was running when one engine died, so it runs in isolation. `refused`: was running when two died, so it never runs again. */
 export type SuspectAssessment = 'clear' | 'suspect' | 'refused'
 
 export interface Suspects {
   assess (fingerprint: string): SuspectAssessment
-  /** Whether the engine's process died, asked after a connection to it broke. */
+  /** Checks whether the engine's process died, after a connection to it broke. */
   hasCrashed: CrashCheck
-  /** The request was running when an engine died. `crashId` is unique for each run that ended so. */
+  /** Records that the request was running when an engine died. `crashId` is unique to each such run. */
   recordCrash (fingerprint: string, crashId: string): void
-  /** It ran to its end: what killed the engine was another. */
+  /** Clears a suspect that ran to completion, since another request crashed the engine. */
   clear (fingerprint: string): void
-  /** Waits for the lane in which suspects run one at a time; call what it resolves to when the run has ended. */
+  /** Waits until no other suspect runs on this instance; resolves to a function that releases the isolation. */
   acquireIsolation (signal: AbortSignal): Promise<() => void>
 }
 
-/** Crashes seen with the request. Taken as a set, so that a doubled or late notice counts once. */
+/** All known crashes of the request. Receivers merge them as a set, so a duplicate or late notice counts once. */
 interface SuspectNotice {
   fingerprint: string
   crashIds: readonly string[]
@@ -39,73 +39,73 @@
   clock: Clock
   logger: Logger
   hasCrashed: CrashCheck
-  /** How long a crash is remembered, milliseconds. @default 600000 */
+  /** How long a crash is kept, milliseconds. @default 600000 */
   retentionMs?: number
-  /** Fingerprints remembered at most; the oldest goes first. @default 10000 */
+  /** Maximum number of fingerprints kept; the oldest is evicted first. @default 10000 */
   maxFingerprints?: number
   /** Crashes after which a request is refused. @default 2 */
   refuseAfterCrashes?: number
 }
 
-const HOLD_MS = 600_000
-const MAX_HELD = 10_000
-const CRASHES_TO_REFUSE = 2
+const DEFAULT_RETENTION_MS = 600_000
+const DEFAULT_MAX_FINGERPRINTS = 10_000
+const DEFAULT_REFUSE_AFTER_CRASHES = 2
 
-interface Held {
+interface SuspectRecord {
   crashIds: Set<string>
-  untilMs: number
+  expiresAtMs: number
 }
 
-/** The same team sending the same body for the same model is the same request sent again. */
+/** Returns a hash that is equal for requests with the same team, model and body. */
 export function fingerprintOf (team: string, model: string, body: Buffer): string {
   return createHash('sha256').update(`${team}\0${model}\0`).update(body).digest('base64url')
 }
 
 export function createSuspects (options: SuspectsOptions): Suspects {
   const { peers, clock, logger } = options
-  const holdMs = options.retentionMs ?? HOLD_MS
-  const maxHeld = options.maxFingerprints ?? MAX_HELD
-  const crashesToRefuse = options.refuseAfterCrashes ?? CRASHES_TO_REFUSE
-  const held = new Map<string, Held>()
-  const lane = createLane()
+  const retentionMs = options.retentionMs ?? DEFAULT_RETENTION_MS
+  const maxFingerprints = options.maxFingerprints ?? DEFAULT_MAX_FINGERPRINTS
+  const refuseAfterCrashes = options.refuseAfterCrashes ?? DEFAULT_REFUSE_AFTER_CRASHES
+  const records = new Map<string, SuspectRecord>()
+  const isolation = createMutex()
 
-  const find = (fingerprint: string): Held | undefined => {
-    const found = held.get(fingerprint)
-    if (found === undefined || found.untilMs > clock.monotonic()) return found
-    held.delete(fingerprint)
+  const findRecord = (fingerprint: string): SuspectRecord | undefined => {
+    const found = records.get(fingerprint)
+    if (found === undefined || found.expiresAtMs > clock.monotonic()) return found
+    records.delete(fingerprint)
     return undefined
   }
-  const take = (fingerprint: string, crashIds: readonly string[]): Held => {
-    const known = find(fingerprint)?.crashIds ?? new Set<string>()
-    const next = { crashIds: new Set([...known, ...crashIds]), untilMs: clock.monotonic() + holdMs }
-    held.delete(fingerprint)
-    held.set(fingerprint, next)
-    const [oldest] = held.keys()
-    if (held.size > maxHeld && oldest !== undefined) held.delete(oldest)
-    return next
+  const addCrashes = (fingerprint: string, crashIds: readonly string[]): SuspectRecord => {
+    const knownCrashIds = findRecord(fingerprint)?.crashIds ?? new Set<string>()
+    const record = { crashIds: new Set([...knownCrashIds, ...crashIds]), expiresAtMs: clock.monotonic() + retentionMs }
+    records.delete(fingerprint)
+    records.set(fingerprint, record)
+    const [oldest] = records.keys()
+    if (records.size > maxFingerprints && oldest !== undefined) records.delete(oldest)
+    return record
   }
-  const drop = (fingerprint: string): void => {
-    const found = find(fingerprint)
-    if (found !== undefined && found.crashIds.size < crashesToRefuse) held.delete(fingerprint)
+  const removeUnlessRefused = (fingerprint: string): void => {
+    const found = findRecord(fingerprint)
+    if (found !== undefined && found.crashIds.size < refuseAfterCrashes) records.delete(fingerprint)
   }
-  peers.listen(suspectNoted, notice => { take(notice.fingerprint, notice.crashIds) })
-  peers.listen(suspectCleared, notice => drop(notice.fingerprint))
+  peers.listen(suspectNoted, notice => { addCrashes(notice.fingerprint, notice.crashIds) })
+  peers.listen(suspectCleared, notice => removeUnlessRefused(notice.fingerprint))
 
   return {
     hasCrashed: options.hasCrashed,
-    acquireIsolation: lane.enter,
+    acquireIsolation: isolation.acquire,
     assess: fingerprint => {
-      const found = find(fingerprint)
+      const found = findRecord(fingerprint)
       if (found === undefined) return 'clear'
-      return found.crashIds.size >= crashesToRefuse ? 'refused' : 'suspect'
+      return found.crashIds.size >= refuseAfterCrashes ? 'refused' : 'suspect'
     },
     recordCrash: (fingerprint, crashId) => {
-      const crashIds = [...take(fingerprint, [crashId]).crashIds]
+      const crashIds = [...addCrashes(fingerprint, [crashId]).crashIds]
       peers.notifyAll(suspectNoted, { fingerprint, crashIds })
       logger.warn('suspect-noted', { fingerprint, crashes: crashIds.length, reason: 'an engine died while it ran this request' })
     },
     clear: fingerprint => {
-      drop(fingerprint)
+      removeUnlessRefused(fingerprint)
       peers.notifyAll(suspectCleared, { fingerprint })
     }
   }
