--- a/packages/magnoliabay/src/node/report/burnRate.ts
+++ b/packages/magnoliabay/src/node/report/burnRate.ts
@@ -1,6 +1,6 @@
 /**
- * How fast error budgets burn, over several windows and at several rates. A rate of 1 spends the budget
- * exactly over the period that the objective is meant for.
+ * Burn rates of error budgets over several windows, and alert rules on them. A rate of 1 spends the budget
+ * exactly over the period of the objective.
  */
 import { HOUR_MS, MINUTE_MS } from './counts'
 import type { Tally } from './counts'
@@ -22,16 +22,16 @@
 
 export interface AlertRule {
   severity: AlertSeverity
-  /** Both windows must burn at least this fast. */
+  /** Minimum burn rate in both windows. */
   rate: number
   long: WindowName
-  /** Ends the alert soon after the trouble has ended. */
+  /** Ends the alert soon after the cause has ended. */
   short: WindowName
 }
 
 /**
- * A fast burn pages within minutes, a slow one makes a ticket within days. The short window keeps an alert
- * from going on for hours after the cause is gone, the long one keeps a single bad minute from paging.
+ * A fast burn pages within minutes, a slow one opens a ticket within days. The short window keeps an alert
+ * from lasting for hours after its cause has ended; the long one keeps a single bad minute from paging.
  */
 export const ALERT_RULES: readonly AlertRule[] = [
   { severity: 'page', rate: 14.4, long: '1h', short: '5m' },
@@ -40,8 +40,8 @@
   { severity: 'ticket', rate: 1, long: '3d', short: '6h' }
 ]
 
-/** Fewer requests than this in a window say too little: one failure of three is no outage. */
-const LEAST_REQUESTS = 10
+/** No alert fires on fewer requests in the long window: one failure out of three is not an outage. */
+const MIN_REQUESTS = 10
 
 export type BurnRates = Record<WindowName, number>
 
@@ -54,12 +54,12 @@
   return Object.fromEntries(WINDOW_NAMES.map(name => [name, burnRate(tallyOf(WINDOW_MS[name]), target)])) as BurnRates
 }
 
-/** The most urgent rule that fires, if any does. */
+/** Returns the most urgent rule that fires, if any. */
 export function firingRule (tallyOf: (windowMs: number) => Tally, target: number): AlertRule | undefined {
-  const burns = (window: WindowName, rate: number): boolean => burnRate(tallyOf(WINDOW_MS[window]), target) >= rate
-  const isMeaningful = (window: WindowName): boolean => {
+  const exceedsRate = (window: WindowName, rate: number): boolean => burnRate(tallyOf(WINDOW_MS[window]), target) >= rate
+  const hasEnoughRequests = (window: WindowName): boolean => {
     const { good, bad } = tallyOf(WINDOW_MS[window])
-    return good + bad >= LEAST_REQUESTS
+    return good + bad >= MIN_REQUESTS
   }
-  return ALERT_RULES.find(rule => isMeaningful(rule.long) && burns(rule.long, rule.rate) && burns(rule.short, rule.rate))
+  return ALERT_RULES.find(rule => hasEnoughRequests(rule.long) && exceedsRate(rule.long, rule.rate) && exceedsRate(rule.short, rule.rate))
 }
--- a/packages/magnoliabay/src/node/report/counts.ts
+++ b/packages/magnoliabay/src/node/report/counts.ts
@@ -1,6 +1,6 @@
 /**
- * Good and bad requests in buckets of time, for each team and objective: by minute for six hours, by half
- * hour for three days. 8 KB for each pair that was ever seen here, whatever the load.
+ * Counts good and bad requests in time buckets for each team and objective: by minute for six hours, by half
+ * hour for three days. Takes 8 KB for each pair ever counted, independent of the load.
  */
 import type { ObjectiveName } from './objectives'
 
@@ -16,7 +16,7 @@
   bad: number
 }
 
-/** A bucket by its number since the epoch, so that counts of several instances add up. */
+/** Buckets are numbered since the Unix epoch, so that counts of several instances can be added. */
 export type BucketTally = readonly [bucket: number, good: number, bad: number]
 
 export interface SeriesCounts {
@@ -28,11 +28,11 @@
 
 export interface Counts {
   add (team: string, objective: ObjectiveName, isGood: boolean): void
-  /** Adds counts of another instance. */
+  /** Adds the counts of another instance. */
   merge (series: readonly SeriesCounts[]): void
-  /** Sum over the last `windowMs`. */
+  /** Sums the counts over the last `windowMs` milliseconds. */
   sum (team: string, objective: ObjectiveName, windowMs: number): Tally
-  /** Half hours, the oldest first; empty ones are left out. */
+  /** Returns half-hour buckets, the oldest first; empty ones are omitted. */
   coarse (team: string, objective: ObjectiveName): BucketTally[]
   series (): SeriesCounts[]
 }
@@ -53,41 +53,41 @@
 }
 
 export function createCounts (now: () => number): Counts {
-  const all = new Map<string, Series>()
+  const seriesByKey = new Map<string, Series>()
 
-  const seriesOf = (team: string, objective: ObjectiveName): Series => {
+  const getOrCreateSeries = (team: string, objective: ObjectiveName): Series => {
     const key = `${objective} ${team}`
-    const known = all.get(key)
-    if (known !== undefined) return known
+    const existing = seriesByKey.get(key)
+    if (existing !== undefined) return existing
     const series = { team, objective, fine: createRing(FINE_BUCKET_MS, FINE_BUCKETS), coarse: createRing(COARSE_BUCKET_MS, COARSE_BUCKETS) }
-    all.set(key, series)
+    seriesByKey.set(key, series)
     return series
   }
-  const find = (team: string, objective: ObjectiveName): Series | undefined => all.get(`${objective} ${team}`)
+  const findSeries = (team: string, objective: ObjectiveName): Series | undefined => seriesByKey.get(`${objective} ${team}`)
 
   return {
     add: (team, objective, isGood) => {
-      const { fine, coarse } = seriesOf(team, objective)
+      const { fine, coarse } = getOrCreateSeries(team, objective)
       const atMs = now()
       for (const ring of [fine, coarse]) {
-        addTo(ring, Math.floor(atMs / ring.bucketMs), isGood ? 1 : 0, isGood ? 0 : 1)
+        addToRing(ring, Math.floor(atMs / ring.bucketMs), isGood ? 1 : 0, isGood ? 0 : 1)
       }
     },
     merge: series => series.forEach(({ team, objective, fine, coarse }) => {
-      const own = seriesOf(team, objective)
-      fine.forEach(([bucket, good, bad]) => addTo(own.fine, bucket, good, bad))
-      coarse.forEach(([bucket, good, bad]) => addTo(own.coarse, bucket, good, bad))
+      const own = getOrCreateSeries(team, objective)
+      fine.forEach(([bucket, good, bad]) => addToRing(own.fine, bucket, good, bad))
+      coarse.forEach(([bucket, good, bad]) => addToRing(own.coarse, bucket, good, bad))
     }),
     sum: (team, objective, windowMs) => {
-      const series = find(team, objective)
+      const series = findSeries(team, objective)
       if (series === undefined) return { good: 0, bad: 0 }
-      return sumOf(windowMs <= FINE_BUCKET_MS * FINE_BUCKETS ? series.fine : series.coarse, now(), windowMs)
+      return sumRing(windowMs <= FINE_BUCKET_MS * FINE_BUCKETS ? series.fine : series.coarse, now(), windowMs)
     },
     coarse: (team, objective) => {
-      const series = find(team, objective)
-      return series === undefined ? [] : tallies(series.coarse)
+      const series = findSeries(team, objective)
+      return series === undefined ? [] : bucketTallies(series.coarse)
     },
-    series: () => [...all.values()].map(({ team, objective, fine, coarse }) => ({ team, objective, fine: tallies(fine), coarse: tallies(coarse) }))
+    series: () => [...seriesByKey.values()].map(({ team, objective, fine, coarse }) => ({ team, objective, fine: bucketTallies(fine), coarse: bucketTallies(coarse) }))
   }
 }
 
@@ -95,7 +95,7 @@
   return { bucketMs, good: new Uint32Array(buckets), bad: new Uint32Array(buckets), newest: 0 }
 }
 
-function addTo (ring: Ring, bucket: number, good: number, bad: number): void {
+function addToRing (ring: Ring, bucket: number, good: number, bad: number): void {
   const size = ring.good.length
   if (bucket <= ring.newest - size) return
   for (let next = Math.max(ring.newest + 1, bucket - size + 1); next <= bucket; next += 1) {
@@ -107,15 +107,15 @@
   ring.bad[bucket % size]! += bad
 }
 
-function sumOf (ring: Ring, nowMs: number, windowMs: number): Tally {
+function sumRing (ring: Ring, nowMs: number, windowMs: number): Tally {
   const current = Math.floor(nowMs / ring.bucketMs)
   const oldest = current - Math.ceil(windowMs / ring.bucketMs) + 1
-  return tallies(ring)
+  return bucketTallies(ring)
     .filter(([bucket]) => bucket >= oldest && bucket <= current)
     .reduce((sum, [, good, bad]) => ({ good: sum.good + good, bad: sum.bad + bad }), { good: 0, bad: 0 })
 }
 
-function tallies (ring: Ring): BucketTally[] {
+function bucketTallies (ring: Ring): BucketTally[] {
   const size = ring.good.length
   return Array.from({ length: Math.min(size, ring.newest) }, (_, age) => ring.newest - age)
     .reverse()
--- a/packages/magnoliabay/src/node/report/objectives.ts
+++ b/packages/magnoliabay/src/node/report/objectives.ts
@@ -1,4 +1,4 @@
-/** Which objectives a request counts for, and whether it kept to them. */
+/** Evaluates which objectives a request counts for, and whether it met them. */
 import type { ObjectiveConfig, TeamConfig } from '../config'
 import type { FailureCode } from '../failures'
 import type { RequestOutcome } from '../outcomes'
@@ -6,14 +6,14 @@
 export type ObjectiveName = 'availability' | 'first-token' | 'cold-start' | 'within-rate'
 export const OBJECTIVE_NAMES: readonly ObjectiveName[] = ['availability', 'first-token', 'cold-start', 'within-rate']
 
-/** One ended request. */
+/** Measurements of an ended request. */
 export interface Observation {
   team: string
   outcome: RequestOutcome['kind']
   code: FailureCode | 'ok'
-  /** Milliseconds from the request to the first byte of its answer; undefined when there was none. */
+  /** Milliseconds from the request to the first byte of its response; undefined if there was none. */
   firstTokenMs?: number
-  /** Whether the request had to wait for a replica to be loaded. */
+  /** Whether the request waited for a replica to be loaded. */
   wasCold: boolean
 }
 
@@ -22,15 +22,15 @@
   isGood: boolean
 }
 
-/** Refusals that the caller brought about. They count for no objective: nobody is woken for a wrong key. */
-const CALLERS_OWN: ReadonlySet<FailureCode | 'ok'> = new Set<FailureCode>([
+/** Failures caused by the caller. They count for no objective, so that a wrong key alerts nobody. */
+const CALLER_FAILURE_CODES: ReadonlySet<FailureCode | 'ok'> = new Set<FailureCode>([
   'bad_request', 'body_too_large', 'body_timeout', 'missing_key', 'invalid_key', 'key_withdrawn', 'forbidden_model',
   'unknown_model', 'unknown_service', 'not_found', 'over_allowance', 'idempotency_conflict', 'idempotency_in_progress',
   'crashes_backend', 'caller_gone'
 ])
 
-/** Share of requests that each objective asks for. */
-const TARGETS: Record<ObjectiveName, (objective: ObjectiveConfig) => number> = {
+/** Required fraction of good requests for each objective. */
+const TARGET_BY_OBJECTIVE: Record<ObjectiveName, (objective: ObjectiveConfig) => number> = {
   availability: objective => objective.availability,
   'first-token': objective => objective.firstTokenShare,
   'cold-start': objective => objective.coldStartShare,
@@ -38,28 +38,28 @@
 }
 
 export function objectiveOf (fleet: ObjectiveConfig, team: TeamConfig | undefined): ObjectiveConfig {
-  const own = Object.entries(team?.objective ?? {}).filter(([, value]) => value !== undefined)
-  return { ...fleet, ...Object.fromEntries(own) }
+  const overrides = Object.entries(team?.objective ?? {}).filter(([, value]) => value !== undefined)
+  return { ...fleet, ...Object.fromEntries(overrides) }
 }
 
 export function targetOf (name: ObjectiveName, objective: ObjectiveConfig): number {
-  return TARGETS[name](objective)
+  return TARGET_BY_OBJECTIVE[name](objective)
 }
 
 /**
- * A request that was refused unrun counts against `within-rate` only, one that failed after it was sent
- * against `availability` only: no failure burns two budgets.
+ * A request that was refused without running counts against `within-rate` only, one that may have run against
+ * `availability` only, so that no failure burns two budgets.
  */
-export function judge (seen: Observation, objective: ObjectiveConfig): ObjectiveResult[] {
-  if (CALLERS_OWN.has(seen.code)) return []
-  if (seen.outcome === 'refused-not-run') return [{ objective: 'within-rate', isGood: false }]
-  const verdicts: ObjectiveResult[] = [
+export function evaluateRequest (observation: Observation, objective: ObjectiveConfig): ObjectiveResult[] {
+  if (CALLER_FAILURE_CODES.has(observation.code)) return []
+  if (observation.outcome === 'refused-not-run') return [{ objective: 'within-rate', isGood: false }]
+  const results: ObjectiveResult[] = [
     { objective: 'within-rate', isGood: true },
-    { objective: 'availability', isGood: seen.outcome === 'answered' }
+    { objective: 'availability', isGood: observation.outcome === 'answered' }
   ]
-  if (seen.firstTokenMs === undefined) return verdicts
-  const speed: ObjectiveResult = seen.wasCold
-    ? { objective: 'cold-start', isGood: seen.firstTokenMs <= objective.coldStartMs }
-    : { objective: 'first-token', isGood: seen.firstTokenMs <= objective.firstTokenMs }
-  return [...verdicts, speed]
+  if (observation.firstTokenMs === undefined) return results
+  const speed: ObjectiveResult = observation.wasCold
+    ? { objective: 'cold-start', isGood: observation.firstTokenMs <= objective.coldStartMs }
+    : { objective: 'first-token', isGood: observation.firstTokenMs <= objective.firstTokenMs }
+  return [...results, speed]
 }
--- a/packages/magnoliabay/src/node/report/table.ts
+++ b/packages/magnoliabay/src/node/report/table.ts
@@ -1,4 +1,4 @@
-/** The report for a terminal. */
+/** Formats the report as a table for the terminal. */
 import type { BurnLine, BurnReport } from '.'
 import type { WindowName } from './burnRate'
 import { formatTable } from '../commands/table'
@@ -17,12 +17,12 @@
   return `${(share * 100).toFixed(2)}%`
 }
 
-export function keptShare ({ tally }: BurnLine): string {
+export function formatGoodShare ({ tally }: BurnLine): string {
   const total = tally.good + tally.bad
   return total === 0 ? NO_REQUESTS : formatShare(tally.good / total)
 }
 
-export function alertText ({ alert }: BurnLine): string {
+export function formatAlert ({ alert }: BurnLine): string {
   return alert === undefined ? '' : `${alert.severity}: ${alert.rate}x over ${alert.long}`
 }
 
@@ -33,8 +33,8 @@
     line.objective,
     formatShare(line.target),
     String(total),
-    keptShare(line),
+    formatGoodShare(line),
     ...SHOWN_WINDOWS.map(window => total === 0 ? NO_REQUESTS : line.rates[window].toFixed(2)),
-    alertText(line)
+    formatAlert(line)
   ]
 }
