--- a/packages/magnoliabay/src/node/entry/attempts.ts
+++ b/packages/magnoliabay/src/node/entry/attempts.ts
@@ -1,4 +1,4 @@
-/** The attempts that one completion is allowed, each at another engine. */
+/** Runs the attempts of one completion, each at a different engine. */
 import type { ServerResponse } from 'node:http'
 import { relayCompletion } from '../backend/relay'
 import type { RelayOptions, RelayResult } from '../backend/relayTypes'
@@ -14,10 +14,9 @@
 import type { CompletionRequest } from './completionRequest'
 import type { EntryRequest } from './types'
 
-/** Engines that one request may be tried at. */
 const MAX_ATTEMPTS = 3
 const MS_PER_SECOND = 1000
-const CRASHES_BACKEND = createRefusal('crashes_backend', 'Engines died while they ran this request. It is not sent to any more of them; change it before you send it again.')
+const CRASHES_BACKEND_FAILURE = createRefusal('crashes_backend', 'Engines died while they ran this request. It is not sent to any more of them; change it before you send it again.')
 
 export interface AttemptOptions {
   routing: ReplicaRouter
@@ -29,35 +28,35 @@
   metrics: Metrics
 }
 
-/** A request that waited longer than this for a replica counts as a cold start. */
-const COLD_WAIT_MS = 200
+/** A request that waits longer than this for a replica counts as a cold start. */
+const COLD_START_THRESHOLD_MS = 200
 
-export interface Attempts {
+export interface CompletionAttempts {
   run (req: EntryRequest, res: ServerResponse, completion: CompletionRequest): Promise<RequestOutcome>
 }
 
-export function createAttempts (options: AttemptOptions): Attempts {
+export function createAttempts (options: AttemptOptions): CompletionAttempts {
   const { routing, retryBudget, suspects, clock, logger, metrics } = options
 
-  const attemptAt = async (attempt: Attempt): Promise<Result> => {
-    const { tries, avoid, req, res, completion, onFirstByte } = attempt
-    const askedMs = clock.monotonic()
+  const runAttempt = async (attempt: Attempt): Promise<AttemptResult> => {
+    const { attemptIndex, excludedEngines, req, res, completion, onFirstByte } = attempt
+    const requestedAtMs = clock.monotonic()
     const route = await routing.acquireReplica({
       modelOrAdapter: completion.model,
       team: req.caller.team,
-      prefixHash: completion.prefix,
+      prefixHash: completion.prefixHash,
       deadlineMs: req.deadline.atMs,
-      excludedEngines: avoid,
+      excludedEngines,
       signal: req.deadline.signal
     })
     if (route.err) return { kind: 'no-route', failure: route.val }
-    req.observation.wasCold ||= clock.monotonic() - askedMs > COLD_WAIT_MS
+    req.observation.wasCold ||= clock.monotonic() - requestedAtMs > COLD_START_THRESHOLD_MS
     const { replica, release } = route.val
     const result = await relayCompletion(options.relay, {
       address: replica.address,
       path: req.path,
       requestId: req.requestId,
-      engineRequestId: tries === 0 ? req.requestId : `${req.requestId}.${tries}`,
+      engineRequestId: attemptIndex === 0 ? req.requestId : `${req.requestId}.${attemptIndex}`,
       team: req.caller.team,
       priority: ENGINE_PRIORITY_BY_CLASS[parseWorkClass(req.headers[WORK_CLASS_HEADER])],
       body: completion.body,
@@ -66,17 +65,17 @@
       execution: req.execution,
       tryTakeRetry: retryBudget.tryTake
     }, res, onFirstByte).finally(release)
-    avoid.add(replica.engine)
-    const isBroken = 'isConnectionBroken' in result && result.isConnectionBroken
-    if (isBroken && await suspects.hasCrashed(replica.address)) suspects.recordCrash(attempt.fingerprint, `${req.requestId}.${tries}`)
+    excludedEngines.add(replica.engine)
+    const isConnectionBroken = 'isConnectionBroken' in result && result.isConnectionBroken
+    if (isConnectionBroken && await suspects.hasCrashed(replica.address)) suspects.recordCrash(attempt.fingerprint, `${req.requestId}.${attemptIndex}`)
     logger.debug('request-relayed', { request: req.requestId, engine: replica.engine, result: result.kind })
     return result
   }
 
-  /** A suspect waits until no other suspect runs here, and is cleared by running to its end. */
-  const attemptApart = async (attempt: Attempt): Promise<Result> => {
-    const leave = await suspects.acquireIsolation(attempt.req.deadline.signal)
-    const result = await attemptAt(attempt).finally(leave)
+  /** Runs a suspect while no other suspect runs on this instance, and clears it if it completes. */
+  const runIsolatedAttempt = async (attempt: Attempt): Promise<AttemptResult> => {
+    const release = await suspects.acquireIsolation(attempt.req.deadline.signal)
+    const result = await runAttempt(attempt).finally(release)
     if (result.kind === 'answered') suspects.clear(attempt.fingerprint)
     return result
   }
@@ -84,38 +83,38 @@
   return {
     run: async (req, res, completion) => {
       const fingerprint = fingerprintOf(req.caller.team, completion.model, completion.body)
-      const avoid = new Set<string>()
+      const excludedEngines = new Set<string>()
       const startedMs = clock.monotonic()
       const onFirstByte = (): void => {
         req.observation.firstTokenMs = clock.monotonic() - req.observation.startedMs
         metrics.firstToken.observe({ start: req.observation.wasCold ? 'cold' : 'warm' }, (clock.monotonic() - startedMs) / MS_PER_SECOND)
       }
-      let last: Failure = createRefusal('no_capacity', 'No engine could take the request.', 1)
+      let lastFailure: Failure = createRefusal('no_capacity', 'No engine could take the request.', 1)
       retryBudget.recordFirstAttempt()
-      for (let tries = 0; tries < MAX_ATTEMPTS; tries += 1) {
-        const verdict = suspects.assess(fingerprint)
-        if (verdict === 'refused') return req.execution.conclude(CRASHES_BACKEND)
-        if (tries > 0 && !retryBudget.tryTake()) {
+      for (let attemptIndex = 0; attemptIndex < MAX_ATTEMPTS; attemptIndex += 1) {
+        const assessment = suspects.assess(fingerprint)
+        if (assessment === 'refused') return req.execution.conclude(CRASHES_BACKEND_FAILURE)
+        if (attemptIndex > 0 && !retryBudget.tryTake()) {
           logger.info('retry-withheld', { request: req.requestId, reason: 'retry budget spent' })
           break
         }
-        const attempt = { tries, avoid, req, res, completion, fingerprint, onFirstByte }
-        const result = verdict === 'suspect' ? await attemptApart(attempt) : await attemptAt(attempt)
+        const attempt = { attemptIndex, excludedEngines, req, res, completion, fingerprint, onFirstByte }
+        const result = assessment === 'suspect' ? await runIsolatedAttempt(attempt) : await runAttempt(attempt)
         if (result.kind === 'answered') return result
-        if (result.kind === 'no-route') return req.execution.conclude(tries === 0 ? result.failure : last)
+        if (result.kind === 'no-route') return req.execution.conclude(attemptIndex === 0 ? result.failure : lastFailure)
         if (!isRetryable(result)) return req.execution.conclude(result.failure)
-        last = result.failure
-        logger.info('request-retried', { request: req.requestId, result: result.kind, reason: last.message })
+        lastFailure = result.failure
+        logger.info('request-retried', { request: req.requestId, result: result.kind, reason: lastFailure.message })
       }
-      return req.execution.conclude(last)
+      return req.execution.conclude(lastFailure)
     }
   }
 }
 
 interface Attempt {
-  tries: number
-  /** Engines tried before. */
-  avoid: Set<string>
+  attemptIndex: number
+  /** Engines of earlier attempts. */
+  excludedEngines: Set<string>
   req: EntryRequest
   res: ServerResponse
   completion: CompletionRequest
@@ -123,9 +122,9 @@
   onFirstByte: () => void
 }
 
-type Result = RelayResult | { kind: 'no-route', failure: Failure }
+type AttemptResult = RelayResult | { kind: 'no-route', failure: Failure }
 
-/** Completions are idempotent: as long as the caller has seen nothing, another engine may be tried. */
-function isRetryable (result: Result): boolean {
+/** Completions are idempotent, so they are retried until the first byte has reached the caller. */
+function isRetryable (result: AttemptResult): boolean {
   return result.kind === 'not-run' || result.kind === 'failed'
 }
--- a/packages/magnoliabay/src/node/entry/authorization.ts
+++ b/packages/magnoliabay/src/node/entry/authorization.ts
@@ -1,9 +1,9 @@
-/** What a team may call. */
+/** Checks which models, adapters and services a team may call. */
 import type { ConfigProvider } from '../config'
 
-const EVERYTHING = '*'
+const ALLOW_ALL = '*'
 
 export function mayCall (cfg: ConfigProvider, team: string, name: string): boolean {
   const allowed = cfg.team(team)?.allow ?? []
-  return allowed.includes(EVERYTHING) || allowed.includes(name)
+  return allowed.includes(ALLOW_ALL) || allowed.includes(name)
 }
--- a/packages/magnoliabay/src/node/entry/clientErrors.ts
+++ b/packages/magnoliabay/src/node/entry/clientErrors.ts
@@ -1,4 +1,4 @@
-/** What a caller gets who sends bytes that are no HTTP request, or more of a body than was waited for. */
+/** Handles connections with malformed HTTP, and request bodies that are not read to their end. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { STATUS_CODES } from 'node:http'
 import type { Duplex } from 'node:stream'
@@ -15,50 +15,50 @@
 }
 
 /**
- * A connection that is closed while bytes of the body still come in is reset, and the caller's system
- * throws away the answer that it has not read yet: the caller sees a broken connection in place of the
- * refusal. So the rest is read and dropped for a while first. A caller that sends for ever is cut then.
+ * How long the rest of a body is read and discarded after the response. Closing a connection while the body
+ * still arrives resets it: the caller's system then drops the unread response, and the caller sees a broken
+ * connection in place of the refusal. A caller that still sends after this time is disconnected.
  */
-const DISCARD_MS = 2000
+const DISCARD_TIMEOUT_MS = 2000
 
-const REFUSALS: Readonly<Record<string, Failure>> = {
+const FAILURE_BY_ERROR_CODE: Readonly<Record<string, Failure>> = {
   HPE_HEADER_OVERFLOW: createRefusal('headers_too_large', 'The headers are larger than this server takes.'),
   ERR_HTTP_REQUEST_TIMEOUT: createRefusal('body_timeout', 'The request did not arrive in time.')
 }
-const NOT_HTTP = createRefusal('bad_request', 'This is no HTTP request.')
+const NOT_HTTP_FAILURE = createRefusal('bad_request', 'This is no HTTP request.')
 
 /**
- * Answers bad input with a typed error and closes its connection.
+ * Responds to malformed input with a typed error and closes its connection.
  *
- * A request that came before the bad bytes on the same connection gets its own answer first. Node's
- * default writes `400 Bad Request` at once: the caller would take that for the answer to a request that
- * is running. One whose own body breaks off in bad bytes is itself refused.
+ * An earlier request on the same connection gets its own response first. Node's default writes
+ * `400 Bad Request` at once, which the caller would take for the response to the running request. A request
+ * whose own body is malformed is refused.
  */
 export function handleClientErrors (server: Server, clock: Clock): void {
-  const latest = new WeakMap<Duplex, Exchange>()
+  const latestExchange = new WeakMap<Duplex, Exchange>()
   server.on('request', (req, res) => {
-    latest.set(req.socket, { req, res })
-    res.on('finish', () => discardRest(clock, req))
+    latestExchange.set(req.socket, { req, res })
+    res.on('finish', () => discardRemainingBody(clock, req))
   })
   server.on('clientError', (err: NodeJS.ErrnoException, socket) => {
     if (err.code === 'ECONNRESET' || !socket.writable) return socket.destroy()
-    const failure = REFUSALS[err.code ?? ''] ?? NOT_HTTP
-    const exchange = latest.get(socket)
-    if (exchange === undefined || exchange.res.writableFinished) return endWith(socket, failure)
-    if (exchange.req.complete) return exchange.res.once('finish', () => endWith(socket, failure))
+    const failure = FAILURE_BY_ERROR_CODE[err.code ?? ''] ?? NOT_HTTP_FAILURE
+    const exchange = latestExchange.get(socket)
+    if (exchange === undefined || exchange.res.writableFinished) return endSocketWithFailure(socket, failure)
+    if (exchange.req.complete) return exchange.res.once('finish', () => endSocketWithFailure(socket, failure))
     exchange.res.once('finish', () => socket.end())
     sendFailure(exchange.res, failure, (exchange.req as EntryRequest).requestId)
   })
 }
 
-function discardRest (clock: Clock, req: IncomingMessage): void {
+function discardRemainingBody (clock: Clock, req: IncomingMessage): void {
   if (req.complete) return
-  const cancel = clock.schedule(DISCARD_MS, () => { if (!req.complete) req.destroy() })
+  const cancel = clock.schedule(DISCARD_TIMEOUT_MS, () => { if (!req.complete) req.destroy() })
   req.on('close', cancel)
   req.resume()
 }
 
-function endWith (socket: Duplex, failure: Failure): void {
+function endSocketWithFailure (socket: Duplex, failure: Failure): void {
   const status = httpStatusOf(failure)
   const body = JSON.stringify(failureBody(failure, createId('req')))
   socket.end([
--- a/packages/magnoliabay/src/node/entry/completionRequest.ts
+++ b/packages/magnoliabay/src/node/entry/completionRequest.ts
@@ -1,4 +1,4 @@
-/** Reads an OpenAI-compatible completion request as far as routing and limits need it. */
+/** Parses the fields of an OpenAI-compatible completion request that routing and limits need. */
 import * as v from 'valibot'
 import { createRefusal } from '../failures'
 import type { Failure } from '../failures'
@@ -7,12 +7,12 @@
 import { parseJson } from '../utils'
 import { stableHash } from '../utils'
 
-/** Rough length of a token, for the reservation that is settled to what was used. */
+/** Estimated length of a token, for the reservation. The actual usage is settled afterwards. */
 const BYTES_PER_TOKEN = 4
 
-/** Characters of the prompt, as JSON, that make its prefix: about what system prompts of one site share. */
-const PREFIX_LENGTH = 512
-const LEAST_PREFIX_LENGTH = 128
+/** Length of the hashed prompt prefix in characters of JSON; system prompts of one site share about this much. */
+const MAX_PREFIX_LENGTH = 512
+const MIN_PREFIX_LENGTH = 128
 
 const completionSchema = v.looseObject({
   model: v.string(),
@@ -25,10 +25,10 @@
   model: string
   isStream: boolean
   maxTokens: number
-  /** Prompt and answer at most: what is reserved of the team's allowance. */
+  /** Upper bound of prompt and completion tokens, reserved from the team's allowance. */
   reservedTokens: number
-  /** Hash of the prompt's beginning, where it is long enough to be worth finding in an engine's cache. */
-  prefix?: string
+  /** Hash of the prompt's prefix; undefined if the prompt is too short for an engine's prefix cache to matter. */
+  prefixHash?: string
   body: Buffer
 }
 
@@ -48,12 +48,12 @@
     isStream: checked.output.stream,
     maxTokens,
     reservedTokens: promptTokens + maxTokens,
-    prefix: prefixOf(checked.output.messages ?? checked.output.prompt),
+    prefixHash: hashPromptPrefix(checked.output.messages ?? checked.output.prompt),
     body: Buffer.from(JSON.stringify({ ...checked.output, max_tokens: maxTokens }))
   })
 }
 
-function prefixOf (prompt: unknown): string | undefined {
-  const text = JSON.stringify(prompt ?? '').slice(0, PREFIX_LENGTH)
-  return text.length < LEAST_PREFIX_LENGTH ? undefined : String(stableHash(text))
+function hashPromptPrefix (prompt: unknown): string | undefined {
+  const text = JSON.stringify(prompt ?? '').slice(0, MAX_PREFIX_LENGTH)
+  return text.length < MIN_PREFIX_LENGTH ? undefined : String(stableHash(text))
 }
--- a/packages/magnoliabay/src/node/entry/completions.ts
+++ b/packages/magnoliabay/src/node/entry/completions.ts
@@ -27,7 +27,7 @@
   const { cfg, allowance, queue } = options
   const attempts = createAttempts(options)
 
-  const check = (req: EntryRequest, completion: CompletionRequest): Failure | undefined => {
+  const validate = (req: EntryRequest, completion: CompletionRequest): Failure | undefined => {
     if (cfg.model(completion.model) === undefined && cfg.adapter(completion.model) === undefined) return createRefusal('unknown_model', `No model is called ${completion.model}. GET /v1/models lists those there are.`)
     if (!mayCall(cfg, req.caller.team, completion.model)) return createRefusal('forbidden_model', `Team ${req.caller.team} may not call ${completion.model}.`)
     return undefined
@@ -37,11 +37,11 @@
     const parsed = parseCompletion(req.rawBody, options.defaultMaxTokens)
     if (parsed.err) return conclude(parsed.val)
     req.observation.model = parsed.val.model
-    const refused = check(req, parsed.val)
-    if (refused !== undefined) return conclude(refused)
+    const failure = validate(req, parsed.val)
+    if (failure !== undefined) return conclude(failure)
     const reservation = await allowance.reserve(req.caller.team, parsed.val.reservedTokens)
     if (reservation.err) return conclude(reservation.val)
-    const turn = await queue.acquire({
+    const permit = await queue.acquire({
       team: req.caller.team,
       model: parsed.val.model,
       workClass: parseWorkClass(req.headers[WORK_CLASS_HEADER]),
@@ -49,9 +49,9 @@
       deadlineMs: req.deadline.atMs,
       signal: req.deadline.signal
     })
-    if (turn.err) {
+    if (permit.err) {
       allowance.settle(reservation.val, 0)
-      return conclude(turn.val)
+      return conclude(permit.val)
     }
     let usedTokens = reservation.val.tokens
     try {
@@ -59,15 +59,15 @@
       usedTokens = usedTokensOf(outcome, reservation.val.tokens)
       return outcome
     } finally {
-      // Also after a fault of ours: else the turn and the reservation would be held for good.
-      turn.val.release(usedTokens)
+      // Runs after an exception too; otherwise the permit and the reservation would never be released.
+      permit.val.release(usedTokens)
       allowance.settle(reservation.val, usedTokens)
     }
   }
   return concludeHandler(options, run)
 }
 
-/** Where the engine doesn't say, everything that was reserved counts as used: a team never gains by a fault. */
+/** Counts the whole reservation as used if the engine reports no usage, so that a team never gains from a fault. */
 function usedTokensOf (outcome: RequestOutcome, reservedTokens: number): number {
   if (outcome.kind === 'refused-not-run') return 0
   return outcome.kind === 'answered' ? outcome.usedTokens ?? reservedTokens : reservedTokens
--- a/packages/magnoliabay/src/node/entry/deadline.ts
+++ b/packages/magnoliabay/src/node/entry/deadline.ts
@@ -1,4 +1,4 @@
-/** The one deadline of a request: a time, and a signal that aborts then or when the caller goes. */
+/** Deadline of a request, with a signal that aborts at that time or when the caller disconnects. */
 import type { ServerResponse } from 'node:http'
 import type { Clock } from '../clock'
 
@@ -9,16 +9,16 @@
   atMs: number
   signal: AbortSignal
   abort (reason: AbortReason): void
-  /** Why the signal aborted. */
+  /** Reason for which the signal aborted; undefined while it has not. */
   reason (): AbortReason | undefined
 }
 
 export function createDeadline (clock: Clock, delayMs: number, res: ServerResponse): AbortableDeadline {
   const controller = new AbortController()
   let reason: AbortReason | undefined
-  const abort = (why: AbortReason): void => {
+  const abort = (abortReason: AbortReason): void => {
     if (reason !== undefined) return
-    reason = why
+    reason = abortReason
     controller.abort()
   }
   const cancel = clock.schedule(delayMs, () => abort('deadline'))
--- a/packages/magnoliabay/src/node/entry/index.ts
+++ b/packages/magnoliabay/src/node/entry/index.ts
@@ -1,4 +1,4 @@
-/** Where callers connect. */
+/** HTTP server for callers. */
 import type { Server, ServerResponse } from 'node:http'
 import polka from 'polka'
 import type { Keyring } from '../admission'
@@ -33,12 +33,12 @@
 import { serviceHandler } from './services'
 import type { EntryRequest, Handler } from './types'
 
-/** For the failures of requests that outlast a shutdown to reach their callers, milliseconds. */
-const LAST_WORDS_MS = 1000
-/** Longer than callers' own, so that a caller never sends into a connection that is just being closed. */
-const KEEP_ALIVE_MS = 75_000
-/** After this much silence the system probes whether a caller is still there, milliseconds. */
-const PROBE_DELAY_MS = 15_000
+/** Time for the failures of requests aborted by a shutdown to reach their callers. */
+const ABORT_RESPONSE_TIMEOUT_MS = 1000
+/** Longer than the callers' own timeout, so that a caller never sends on a connection that the server is closing. */
+const KEEP_ALIVE_TIMEOUT_MS = 75_000
+/** Idle time after which TCP keep-alive probes start. */
+const TCP_KEEP_ALIVE_DELAY_MS = 15_000
 
 export interface EntryServerOptions {
   settings: ResolvedSettings
@@ -64,8 +64,8 @@
 export interface EntryServer {
   start (): Promise<void>
   /**
-   * Stops taking connections and resolves when every open request has ended; those still open after
-   * `drainMs` milliseconds are ended with a typed failure.
+   * Stops accepting connections and resolves when every open request has ended. Requests still open after
+   * `drainMs` milliseconds are aborted with a typed failure.
    */
   close (drainMs: number): Promise<void>
 }
@@ -73,18 +73,18 @@
 export function createEntryServer (options: EntryServerOptions): EntryServer {
   const { settings, metrics } = options
   const { limits } = settings
-  const server = createHttpServer({ keepAlive: true, keepAliveInitialDelay: PROBE_DELAY_MS, keepAliveTimeout: KEEP_ALIVE_MS }, options.certificates)
+  const server = createHttpServer({ keepAlive: true, keepAliveInitialDelay: TCP_KEEP_ALIVE_DELAY_MS, keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS }, options.certificates)
   handleClientErrors(server, options.clock)
   const app = polka({
     server,
     onError: (err, req, res) => {
-      const { requestId, execution: trail } = req as unknown as EntryRequest
+      const { requestId, execution } = req as unknown as EntryRequest
       options.logger.error('entry-fault', { reason: messageOf(err) })
-      const outcome = trail.conclude(createRefusal('internal', 'Something went wrong here.'))
+      const outcome = execution.conclude(createRefusal('internal', 'Something went wrong here.'))
       if (outcome.kind !== 'answered') sendFailure(res as ServerResponse, outcome.failure, requestId)
     },
     onNoMatch: (req, res) => {
-      const allowed = routes.filter(route => servesPath(route.path, req.path)).map(route => route.method)
+      const allowed = routes.filter(route => matchesRoute(route.path, req.path)).map(route => route.method)
       const failure = allowed.length === 0
         ? createRefusal('not_found', `Nothing is served at ${req.path}.`)
         : createRefusal('method_not_allowed', `${req.path} takes ${allowed.join(', ')}, not ${req.method}.`)
@@ -93,29 +93,29 @@
     }
   })
   const { clock, peers, connectionPools, engineClient } = options
-  const open = createOpenRequests(limits)
-  const departures = createLeavingBackends({ peers, clock })
+  const openRequests = createOpenRequests(limits)
+  const leavingBackends = createLeavingBackends({ peers, clock })
   const suspects = createSuspects({ peers, clock, logger: options.logger, hasCrashed: createCrashCheck(engineClient) })
-  const shared = { ...options, retryBudget: createRetryBudget(), suspects, departures, relay: { connectionPools, engineClient, clock, limits } }
-  const callers = [authenticateMiddleware(options.keyring)]
-  const calls = [
-    open.admit,
-    ...callers,
-    deadlineMiddleware(clock, limits.deadlineMs, open),
+  const handlerOptions = { ...options, retryBudget: createRetryBudget(), suspects, leavingBackends, relay: { connectionPools, engineClient, clock, limits } }
+  const authentication = [authenticateMiddleware(options.keyring)]
+  const requestMiddleware = [
+    openRequests.admit,
+    ...authentication,
+    deadlineMiddleware(clock, limits.deadlineMs, openRequests),
     withdrawalMiddleware(options.keyring),
-    bodyMiddleware(clock, limits, open)
+    bodyMiddleware(clock, limits, openRequests)
   ]
-  const completion = completionHandler({ ...shared, defaultMaxTokens: limits.defaultMaxTokens })
-  const service = serviceHandler({ ...shared, serviceAnswerMs: limits.serviceAnswerMs })
+  const completion = completionHandler({ ...handlerOptions, defaultMaxTokens: limits.defaultMaxTokens })
+  const service = serviceHandler({ ...handlerOptions, serviceAnswerMs: limits.serviceAnswerMs })
   const routes: RouteTable = [
     { method: 'GET', path: '/healthz', handlers: [(_req, res) => sendJson(res, 200, { status: 'ok' })] },
     { method: 'GET', path: '/readyz', handlers: [(_req, res) => sendJson(res, options.isReady() ? 200 : 503, { ready: options.isReady() })] },
     { method: 'GET', path: '/metrics', handlers: [metricsHandler(metrics)] },
-    { method: 'GET', path: '/v1/models', handlers: [...callers, modelsHandler(options.cfg)] },
-    { method: 'GET', path: '/v1/locate', handlers: [...callers, locateHandler(peers, options.allowance, settings.shutdown.locateKeepMs)] },
-    { method: 'POST', path: '/v1/chat/completions', handlers: [...calls, completion] },
-    { method: 'POST', path: '/v1/completions', handlers: [...calls, completion] },
-    ...SERVICE_METHODS.map(method => ({ method, path: '/v1/services/*', handlers: [...calls, service] }))
+    { method: 'GET', path: '/v1/models', handlers: [...authentication, modelsHandler(options.cfg)] },
+    { method: 'GET', path: '/v1/locate', handlers: [...authentication, locateHandler(peers, options.allowance, settings.shutdown.locateKeepMs)] },
+    { method: 'POST', path: '/v1/chat/completions', handlers: [...requestMiddleware, completion] },
+    { method: 'POST', path: '/v1/completions', handlers: [...requestMiddleware, completion] },
+    ...SERVICE_METHODS.map(method => ({ method, path: '/v1/services/*', handlers: [...requestMiddleware, service] }))
   ]
   app.use(requestIdMiddleware() as never, leavingMiddleware(() => peers.self.leaving) as never)
   routes.forEach(route => app.add(route.method, route.path, ...route.handlers as never[]))
@@ -126,10 +126,10 @@
       const closed = new Promise<void>(resolve => { server.close(() => resolve()) })
       server.closeIdleConnections()
       if (await withTimeout(clock, drainMs, closed) !== TIMED_OUT) return
-      // A caller that never reads, or an engine that never ends, would keep the process for good.
-      options.logger.warn('requests-ended-by-shutdown', { open: open.count() })
-      open.abortAll('shutting-down')
-      if (await withTimeout(clock, LAST_WORDS_MS, closed) === TIMED_OUT) server.closeAllConnections()
+      // A caller that never reads, or an engine that never finishes, would keep the process running forever.
+      options.logger.warn('requests-ended-by-shutdown', { open: openRequests.count() })
+      openRequests.abortAll('shutting-down')
+      if (await withTimeout(clock, ABORT_RESPONSE_TIMEOUT_MS, closed) === TIMED_OUT) server.closeAllConnections()
       await closed
     }
   }
@@ -140,8 +140,8 @@
 
 const SERVICE_METHODS: Method[] = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE']
 
-/** Route paths end in `*` or stand as they are. */
-function servesPath (routePath: string, path: string): boolean {
+/** Route paths match exactly, or as a prefix if they end in `*`. */
+function matchesRoute (routePath: string, path: string): boolean {
   return routePath.endsWith('*') ? path.startsWith(routePath.slice(0, -1)) : routePath === path
 }
 
--- a/packages/magnoliabay/src/node/entry/middleware/authenticate.ts
+++ b/packages/magnoliabay/src/node/entry/middleware/authenticate.ts
@@ -2,7 +2,7 @@
 import { sendFailure } from '../respond'
 import type { Handler } from '../types'
 
-/** Lets in whoever shows a valid key, and forgets the header, so that nothing can pass it on. */
+/** Authenticates the caller by its key, and deletes the header so that it is never forwarded. */
 export function authenticateMiddleware (keyring: Keyring): Handler {
   return function authenticate (req, res, next) {
     const caller = keyring.authenticate(req.headers.authorization)
--- a/packages/magnoliabay/src/node/entry/middleware/body.ts
+++ b/packages/magnoliabay/src/node/entry/middleware/body.ts
@@ -12,28 +12,28 @@
   bodyTimeoutMs: number
 }
 
-/** What the bodies of all open requests may hold together. */
-type BodyRoom = Pick<OpenRequests, 'hold'>
+/** Limit on the total size of the bodies of all open requests. */
+type BodyBudget = Pick<OpenRequests, 'reserveBodyBytes'>
 
-const UNSHARED: BodyRoom = { hold: () => true }
+const UNLIMITED: BodyBudget = { reserveBodyBytes: () => true }
 
-type Problem = 'too-large' | 'no-room' | 'broken-off' | 'late'
+type BodyProblem = 'too-large' | 'no-room' | 'broken-off' | 'late'
 
 const RETRY_AFTER_SECONDS = 1
 
-/** Reads the whole body, within a size and a time, and within what all open requests may hold together. */
-export function bodyMiddleware (clock: Clock, limits: BodyLimits, room: BodyRoom = UNSHARED): Handler {
-  const failures: Record<Exclude<Problem, 'broken-off'>, Failure> = {
+/** Reads the whole body within a size, a time, and the total for the bodies of all open requests. */
+export function bodyMiddleware (clock: Clock, limits: BodyLimits, bodyBudget: BodyBudget = UNLIMITED): Handler {
+  const failures: Record<Exclude<BodyProblem, 'broken-off'>, Failure> = {
     'too-large': createRefusal('body_too_large', `A body may have ${limits.maxBodyBytes} bytes at most.`),
     'no-room': createRefusal('overloaded', 'This instance holds as many bodies as it can.', RETRY_AFTER_SECONDS),
     late: createRefusal('body_timeout', `The body did not arrive within ${limits.bodyTimeoutMs} ms.`)
   }
   return async function readBody (req, res, next) {
-    const read = await withTimeout(clock, limits.bodyTimeoutMs, readWithin(req, res, limits.maxBodyBytes, room))
+    const read = await withTimeout(clock, limits.bodyTimeoutMs, readLimitedBody(req, res, limits.maxBodyBytes, bodyBudget))
     const body = read === TIMED_OUT ? 'late' : read
     if (body === 'broken-off') return
     if (typeof body === 'string') {
-      // What still comes of it is dropped, not held.
+      // The rest of the body is discarded.
       req.removeAllListeners('data')
       return sendFailure(res, failures[body], req.requestId)
     }
@@ -42,20 +42,20 @@
   }
 }
 
-async function readWithin (req: EntryRequest, res: ServerResponse, maxBytes: number, room: BodyRoom): Promise<Buffer | Problem> {
+async function readLimitedBody (req: EntryRequest, res: ServerResponse, maxBytes: number, bodyBudget: BodyBudget): Promise<Buffer | BodyProblem> {
   if (Number(req.headers['content-length'] ?? 0) > maxBytes) return 'too-large'
   return await new Promise(resolve => {
     const chunks: Buffer[] = []
     let size = 0
-    const giveUp = (problem: Problem): void => {
+    const rejectBody = (problem: BodyProblem): void => {
       req.removeAllListeners('data')
       req.resume()
       resolve(problem)
     }
     req.on('data', (chunk: Buffer) => {
       size += chunk.length
-      if (size > maxBytes) return giveUp('too-large')
-      if (!room.hold(res, chunk.length)) return giveUp('no-room')
+      if (size > maxBytes) return rejectBody('too-large')
+      if (!bodyBudget.reserveBodyBytes(res, chunk.length)) return rejectBody('no-room')
       chunks.push(chunk)
     })
     req.on('end', () => resolve(Buffer.concat(chunks)))
--- a/packages/magnoliabay/src/node/entry/middleware/deadline.ts
+++ b/packages/magnoliabay/src/node/entry/middleware/deadline.ts
@@ -6,18 +6,18 @@
 
 export const DEADLINE_HEADER = 'x-deadline-ms'
 
-/** Starts the request's one deadline: what the caller asked for, but no longer than the limit. */
-export function deadlineMiddleware (clock: Clock, limitMs: number, open: OpenRequests): Handler {
+/** Sets the request's deadline to the time that the caller asks for, up to the limit. */
+export function deadlineMiddleware (clock: Clock, limitMs: number, openRequests: OpenRequests): Handler {
   return function startDeadline (req, res, next) {
-    const asked = Number(req.headers[DEADLINE_HEADER])
-    const delayMs = asked > 0 ? Math.min(asked, limitMs) : limitMs
+    const requestedMs = Number(req.headers[DEADLINE_HEADER])
+    const delayMs = requestedMs > 0 ? Math.min(requestedMs, limitMs) : limitMs
     req.deadline = createDeadline(clock, delayMs, res)
-    open.track(res, req.deadline)
+    openRequests.track(res, req.deadline)
     next()
   }
 }
 
-/** Cuts a request whose key is withdrawn while it is open. */
+/** Aborts an open request when its key is withdrawn. */
 export function withdrawalMiddleware (keyring: Pick<Keyring, 'onWithdrawn'>): Handler {
   return function watchWithdrawal (req, res, next) {
     const dispose = keyring.onWithdrawn(keyId => {
--- a/packages/magnoliabay/src/node/entry/middleware/leaving.ts
+++ b/packages/magnoliabay/src/node/entry/middleware/leaving.ts
@@ -1,6 +1,6 @@
 import type { Handler } from '../types'
 
-/** Sends callers elsewhere for their next request once this instance leaves, without cutting this one. */
+/** Asks callers to reconnect for their next request while this instance leaves; open requests continue. */
 export function leavingMiddleware (isLeaving: () => boolean): Handler {
   return function closeWhenLeaving (_req, res, next) {
     if (isLeaving()) res.setHeader('connection', 'close')
--- a/packages/magnoliabay/src/node/entry/openRequests.ts
+++ b/packages/magnoliabay/src/node/entry/openRequests.ts
@@ -1,6 +1,6 @@
 /**
- * Requests open on this instance: bounded in number and in the bytes of their bodies, so that overload is
- * refused early, and known, so that a shutdown can end those that outlast it.
+ * Tracks the open requests of this instance. Their number and the bytes of their bodies are bounded, so that
+ * overload is refused early; a shutdown aborts those that outlast it.
  */
 import type { ServerResponse } from 'node:http'
 import { createRefusal } from '../failures'
@@ -16,11 +16,11 @@
 
 export interface OpenRequests {
   count (): number
-  heldBytes (): number
-  /** Refuses a request beyond the limit, before its body is read. */
+  heldBodyBytes (): number
+  /** Refuses requests above the limit before their bodies are read. */
   readonly admit: Handler
-  /** Counts bytes of a body until `res` closes; false when there is no room for them. */
-  hold (res: ServerResponse, bytes: number): boolean
+  /** Counts bytes of a body until `res` closes; returns false if they would exceed the limit. */
+  reserveBodyBytes (res: ServerResponse, bytes: number): boolean
   track (res: ServerResponse, deadline: AbortableDeadline): void
   abortAll (reason: AbortReason): void
 }
@@ -30,31 +30,31 @@
 
 export function createOpenRequests (options: OpenRequestsOptions): OpenRequests {
   const deadlines = new Map<ServerResponse, AbortableDeadline>()
-  const bodies = new Map<ServerResponse, number>()
-  let open = 0
-  let held = 0
+  const bodyBytesByResponse = new Map<ServerResponse, number>()
+  let openCount = 0
+  let heldBodyBytes = 0
 
-  const letGo = (res: ServerResponse): void => {
-    held -= bodies.get(res) ?? 0
-    bodies.delete(res)
+  const releaseBodyBytes = (res: ServerResponse): void => {
+    heldBodyBytes -= bodyBytesByResponse.get(res) ?? 0
+    bodyBytesByResponse.delete(res)
   }
   return {
-    count: () => open,
-    heldBytes: () => held,
+    count: () => openCount,
+    heldBodyBytes: () => heldBodyBytes,
     admit: (req, res, next) => {
-      if (open >= options.maxOpenRequests) {
+      if (openCount >= options.maxOpenRequests) {
         res.setHeader('connection', 'close')
         return sendFailure(res, OVERLOADED, req.requestId)
       }
-      open += 1
-      res.once('close', () => { open -= 1 })
+      openCount += 1
+      res.once('close', () => { openCount -= 1 })
       next()
     },
-    hold: (res, bytes) => {
-      if (held + bytes > options.maxHeldBodyBytes) return false
-      if (!bodies.has(res)) res.once('close', () => letGo(res))
-      bodies.set(res, (bodies.get(res) ?? 0) + bytes)
-      held += bytes
+    reserveBodyBytes: (res, bytes) => {
+      if (heldBodyBytes + bytes > options.maxHeldBodyBytes) return false
+      if (!bodyBytesByResponse.has(res)) res.once('close', () => releaseBodyBytes(res))
+      bodyBytesByResponse.set(res, (bodyBytesByResponse.get(res) ?? 0) + bytes)
+      heldBodyBytes += bytes
       return true
     },
     track: (res, deadline) => {
--- a/packages/magnoliabay/src/node/entry/queries.ts
+++ b/packages/magnoliabay/src/node/entry/queries.ts
@@ -1,4 +1,4 @@
-/** What callers may ask: which models there are, and which entry instance to use. */
+/** Handlers that list models and locate entry instances. */
 import type { Allowance } from '../allowance'
 import type { ConfigProvider } from '../config'
 import type { Peers } from '../members'
@@ -8,7 +8,7 @@
 import type { Handler } from './types'
 
 const MS_PER_SECOND = 1000
-const LOCATE_ADDRESSES = 3
+const MAX_LOCATE_ADDRESSES = 3
 
 export function modelsHandler (cfg: ConfigProvider): Handler {
   return function listModels (req, res) {
@@ -21,21 +21,21 @@
 }
 
 /**
- * Ranks entry instances for the caller's team, the first ones in different failure domains; leaving ones are
- * left out. Callers may keep the answer for `keepMs` milliseconds, for which a leaving instance serves on.
+ * Ranks entry instances for the caller's team, the first ones in different failure domains; leaving instances
+ * are excluded. Callers may cache the response for `keepMs` milliseconds; a leaving instance serves that long.
  */
 export function locateHandler (peers: Peers, allowance: Allowance, keepMs: number): Handler {
   return function locate (req, res) {
     const byId = new Map(peers.members().filter(member => !member.leaving).map(member => [member.id, member]))
     const ranked = allowance.homeMembers(req.caller.team).flatMap(id => byId.get(id) ?? [])
-    const addresses = spreadOverDomains(ranked)
-      .slice(0, LOCATE_ADDRESSES)
+    const addresses = spreadOverFailureDomains(ranked)
+      .slice(0, MAX_LOCATE_ADDRESSES)
       .map(member => ({ address: member.entryAddress, failure_domain: member.failureDomain }))
     sendJson(res, 200, { addresses, keep_seconds: Math.floor(keepMs / MS_PER_SECOND) })
   }
 }
 
-function spreadOverDomains (ranked: readonly MemberRecord[]): MemberRecord[] {
+function spreadOverFailureDomains (ranked: readonly MemberRecord[]): MemberRecord[] {
   const isFirstOfDomain = (member: MemberRecord, index: number): boolean =>
     ranked.findIndex(other => other.failureDomain === member.failureDomain) === index
   return [...ranked.filter(isFirstOfDomain), ...ranked.filter((member, index) => !isFirstOfDomain(member, index))]
--- a/packages/magnoliabay/src/node/entry/requestOutcome.ts
+++ b/packages/magnoliabay/src/node/entry/requestOutcome.ts
@@ -1,6 +1,5 @@
 /**
- * The one place in which a request ends: whatever its handler did, the caller is answered, the outcome is
- * counted and logged.
+ * Concludes every request: responds to the caller, whatever the handler did, and counts and logs the outcome.
  */
 import type { ServerResponse } from 'node:http'
 import type { Clock } from '../clock'
@@ -22,18 +21,18 @@
   report: Pick<SloTracker, 'recordRequest'>
 }
 
-/** Carries a request out. A returned `answered` means that the handler has sent the whole answer. */
+/** Runs a request. `answered` means that the runner has sent the complete response. */
 export type RequestRunner = (req: EntryRequest, res: ServerResponse) => Promise<RequestOutcome>
 
-/** What an aborted request is told, whatever its handler ran into because of it. */
-const ABORTED: Record<AbortReason, Failure> = {
+/** Failures of aborted requests; they replace whatever failure the abort caused in the handler. */
+const FAILURE_BY_ABORT_REASON: Record<AbortReason, Failure> = {
   deadline: createRefusal('deadline_exceeded', 'The deadline of the request passed.', 1),
   'caller-gone': createRefusal('caller_gone', 'The caller closed its connection.'),
   'key-withdrawn': createRefusal('key_withdrawn', 'The key was withdrawn while the request was open.'),
   'shutting-down': createRefusal('shutting_down', 'This instance ended before the request did.', 1)
 }
 
-/** Makes a handler of `run` that always answers, once. `describe` adds fields to the log event. */
+/** Wraps `run` in a handler that responds exactly once. `describe` adds fields to the log event. */
 export function concludeHandler (options: ConcludeOptions, run: RequestRunner, describe: (req: EntryRequest) => LogFields = () => ({})): Handler {
   const { clock, logger, metrics } = options
 
@@ -41,21 +40,21 @@
     try {
       return await run(req, res)
     } catch (err) {
-      // A fault of ours must not leave the caller waiting, nor claim *not run* of a request that was sent.
+      // An exception must not leave the caller waiting, nor report *not run* for a request that was sent.
       logger.error('request-fault', { request: req.requestId, reason: messageOf(err) })
       return req.execution.conclude(createRefusal('internal', 'Something went wrong here.'))
     }
   }
-  const asTold = (req: EntryRequest, outcome: RequestOutcome): RequestOutcome => {
+  const applyAbortReason = (req: EntryRequest, outcome: RequestOutcome): RequestOutcome => {
     const reason = req.deadline.reason()
     if (outcome.kind === 'answered' || reason === undefined) return outcome
-    return req.execution.conclude(ABORTED[reason])
+    return req.execution.conclude(FAILURE_BY_ABORT_REASON[reason])
   }
   return async function conclude (req, res) {
     const startedMs = clock.monotonic()
     req.observation = { startedMs, wasCold: false }
     metrics.openRequests.inc()
-    const outcome = asTold(req, await runSafely(req, res))
+    const outcome = applyAbortReason(req, await runSafely(req, res))
     metrics.openRequests.dec()
     const code = outcome.kind === 'answered' ? 'ok' : outcome.failure.code
     if (outcome.kind !== 'answered') sendFailure(res, outcome.failure, req.requestId)
--- a/packages/magnoliabay/src/node/entry/respond.ts
+++ b/packages/magnoliabay/src/node/entry/respond.ts
@@ -1,4 +1,4 @@
-/** Answers that every handler gives the same way. */
+/** Response helpers shared by all handlers. */
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http'
 import { REQUEST_ID_HEADER } from '../backend/protocol'
 import { failureBody, httpStatusOf } from '../failures'
@@ -9,8 +9,8 @@
 }
 
 /**
- * Tells the caller of a failure: as the answer while nothing has been sent, else as a typed event after
- * which the connection is cut, so that no client takes the broken stream for a whole one.
+ * Sends a failure to the caller: as the response if no headers have been sent, otherwise as a typed event
+ * after which the connection is destroyed, so that no client takes the stream for complete.
  */
 export function sendFailure (res: ServerResponse, failure: Failure, requestId: string): void {
   if (res.destroyed) return
--- a/packages/magnoliabay/src/node/entry/serviceAttempts.ts
+++ b/packages/magnoliabay/src/node/entry/serviceAttempts.ts
@@ -1,4 +1,4 @@
-/** The attempts that one call of a plain service is allowed. */
+/** Runs the attempts of one call of a plain service. */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { BackendDirectory, ConnectionPools } from '../backend'
 import type { HttpMethod } from '../backend/httpExchange'
@@ -20,7 +20,7 @@
 
 export interface ServiceAttemptOptions {
   directory: BackendDirectory
-  departures: LeavingBackends
+  leavingBackends: LeavingBackends
   connectionPools: ConnectionPools
   clock: Clock
   logger: Logger
@@ -30,7 +30,7 @@
 
 export interface ServiceTarget {
   name: string
-  /** With the query. */
+  /** Includes the query. */
   path: string
   isIdempotent: boolean
 }
@@ -40,18 +40,18 @@
 }
 
 export function createServiceAttempts (options: ServiceAttemptOptions): ServiceAttempts {
-  const { directory, departures, logger, retryBudget } = options
-  let turn = 0
+  const { directory, leavingBackends, logger, retryBudget } = options
+  let rotation = 0
 
-  /** Another failure domain than those tried, if there is one; else another server; in turn. */
-  const choose = (name: string, tried: readonly ListedInstance[]): ListedInstance | undefined => {
-    const open = directory.services(name)
-      .filter(server => server.status === 'live' && !departures.isLeaving(server.address))
+  /** Picks an untried server round-robin, in an untried failure domain if there is one. */
+  const chooseServer = (name: string, tried: readonly ListedInstance[]): ListedInstance | undefined => {
+    const available = directory.services(name)
+      .filter(server => server.status === 'live' && !leavingBackends.isLeaving(server.address))
       .filter(server => !tried.some(other => other.address === server.address))
-    const elsewhere = open.filter(server => !tried.some(other => other.failureDomain === server.failureDomain))
-    const candidates = elsewhere.length > 0 ? elsewhere : open
-    turn += 1
-    return candidates[turn % Math.max(1, candidates.length)]
+    const inOtherDomains = available.filter(server => !tried.some(other => other.failureDomain === server.failureDomain))
+    const candidates = inOtherDomains.length > 0 ? inOtherDomains : available
+    rotation += 1
+    return candidates[rotation % Math.max(1, candidates.length)]
   }
   const callAt = async (server: ListedInstance, req: EntryRequest, target: ServiceTarget, signal: AbortSignal): Promise<ServiceCallResult> => {
     req.execution.record('send')
@@ -68,20 +68,20 @@
     })
     const isDisclaimed = result.kind === 'not-run' || (result.kind === 'stopped' && !result.isSent)
     req.execution.record(isDisclaimed ? 'disclaim' : 'lose')
-    if (result.kind === 'not-run' && result.isLeaving) departures.markLeaving(server.address)
+    if (result.kind === 'not-run' && result.isLeaving) leavingBackends.markLeaving(server.address)
     return result
   }
-  /** What certainly didn't run may go to another server; what may have run only if it may be repeated. */
-  const mayTryAgain = (result: ServiceCallResult, target: ServiceTarget): boolean =>
+  /** A call that certainly didn't run may be retried; one that may have run only if it is idempotent. */
+  const isRetryable = (result: ServiceCallResult, target: ServiceTarget): boolean =>
     result.kind === 'not-run' || (result.kind === 'lost' && target.isIdempotent)
 
   return {
     run: async (req, target, signal) => {
       const tried: ListedInstance[] = []
-      let last: Failure = createRefusal('no_capacity', `No server of ${target.name} is live.`, 1)
+      let lastFailure: Failure = createRefusal('no_capacity', `No server of ${target.name} is live.`, 1)
       retryBudget.recordFirstAttempt()
       while (tried.length < MAX_ATTEMPTS && !signal.aborted) {
-        const server = choose(target.name, tried)
+        const server = chooseServer(target.name, tried)
         if (server === undefined) break
         if (tried.length > 0 && !retryBudget.tryTake()) {
           logger.info('retry-withheld', { request: req.requestId, reason: 'retry budget spent' })
@@ -90,11 +90,11 @@
         tried.push(server)
         const result = await callAt(server, req, target, signal)
         if (result.kind === 'answered') return Ok(result.answer)
-        last = failureOf(result)
-        logger.info('service-call-failed', { request: req.requestId, server: server.id, result: result.kind, reason: last.message })
-        if (!mayTryAgain(result, target)) break
+        lastFailure = failureOf(result)
+        logger.info('service-call-failed', { request: req.requestId, server: server.id, result: result.kind, reason: lastFailure.message })
+        if (!isRetryable(result, target)) break
       }
-      return Err(last)
+      return Err(lastFailure)
     }
   }
 }
@@ -107,8 +107,8 @@
     : createRefusal('deadline_exceeded', 'The call was given up before it was sent.', 1)
 }
 
-/** Only what a service needs: the caller's key, cookies and connection headers stay here. */
+/** Forwards only the headers that a service needs; the caller's key, cookies and connection headers are dropped. */
 function forwardedHeaders (headers: IncomingHttpHeaders, team: string): Record<string, string> {
-  const kept = FORWARDED_HEADERS.flatMap(name => typeof headers[name] === 'string' ? [[name, headers[name] as string]] : [])
-  return { ...Object.fromEntries(kept), 'x-team': team }
+  const forwarded = FORWARDED_HEADERS.flatMap(name => typeof headers[name] === 'string' ? [[name, headers[name] as string]] : [])
+  return { ...Object.fromEntries(forwarded), 'x-team': team }
 }
--- a/packages/magnoliabay/src/node/entry/services.ts
+++ b/packages/magnoliabay/src/node/entry/services.ts
@@ -19,7 +19,7 @@
 const SERVICE_PATH = /^\/v1\/services\/([^/]+)(\/.*)?$/
 export const IDEMPOTENCY_HEADER = 'idempotency-key'
 const MAX_IDEMPOTENCY_KEY_LENGTH = 512
-const NEVER = new AbortController().signal
+const NEVER_ABORTED = new AbortController().signal
 
 export interface ServiceOptions extends ConcludeOptions, ServiceAttemptOptions {
   cfg: ConfigProvider
@@ -31,7 +31,7 @@
 }
 
 export function serviceHandler (options: ServiceOptions): Handler {
-  const { cfg, idempotencyClaims: once } = options
+  const { cfg, idempotencyClaims } = options
   const attempts = createServiceAttempts(options)
 
   const resolve = (req: EntryRequest): Result<ServiceCall, Failure> => {
@@ -44,8 +44,8 @@
     const path = `${match?.[2] ?? '/'}${req.search ?? ''}`
     return Ok({ service, name, path, isIdempotent })
   }
-  const runOnce = async (req: EntryRequest, call: ServiceCall, idempotencyKey: string): Promise<Result<ServiceResponse, Failure>> => {
-    const claimed = await once.claim({
+  const runClaimed = async (req: EntryRequest, call: ServiceCall, idempotencyKey: string): Promise<Result<ServiceResponse, Failure>> => {
+    const claimed = await idempotencyClaims.claim({
       team: req.caller.team,
       service: call.name,
       idempotencyKey,
@@ -55,14 +55,14 @@
     })
     if (claimed.err) return claimed
     if (claimed.val.kind === 'answered') return Ok(claimed.val.answer)
-    return await Promise.race([sendClaimed(req, call, claimed.val.claim), untilGivenUp(req.deadline.signal)])
+    return await Promise.race([sendClaimed(req, call, claimed.val.claim), waitForAbort(req.deadline.signal)])
   }
-  /** Goes on to the end though the caller has gone: it will ask again, and then its answer is there. */
+  /** Runs to completion even if the caller has disconnected, so that its retry finds the stored response. */
   const sendClaimed = async (req: EntryRequest, call: ServiceCall, claim: IdempotencyClaim): Promise<Result<ServiceResponse, Failure>> => {
-    const answer = await attempts.run(req, call, NEVER)
-    if (answer.ok) once.storeResponse(claim, answer.val)
-    else if (req.execution.state() === 'untouched') await once.release(claim)
-    return answer
+    const response = await attempts.run(req, call, NEVER_ABORTED)
+    if (response.ok) idempotencyClaims.storeResponse(claim, response.val)
+    else if (req.execution.state() === 'untouched') await idempotencyClaims.release(claim)
+    return response
   }
   const run = async (req: EntryRequest, res: ServerResponse): Promise<RequestOutcome> => {
     const { conclude } = req.execution
@@ -72,30 +72,30 @@
     if (typeof idempotencyKey === 'string' && idempotencyKey.length > MAX_IDEMPOTENCY_KEY_LENGTH) {
       return conclude(createRefusal('bad_request', `An Idempotency-Key may have ${MAX_IDEMPOTENCY_KEY_LENGTH} characters at most.`))
     }
-    const answer = !call.val.isIdempotent && typeof idempotencyKey === 'string'
-      ? await runOnce(req, call.val, idempotencyKey)
+    const response = !call.val.isIdempotent && typeof idempotencyKey === 'string'
+      ? await runClaimed(req, call.val, idempotencyKey)
       : await attempts.run(req, call.val, req.deadline.signal)
-    if (answer.err) return conclude(answer.val)
+    if (response.err) return conclude(response.val)
     if (res.destroyed) return conclude(createIndeterminateFailure('caller_gone', 'The caller closed its connection.'))
-    sendAnswer(res, answer.val, req.requestId)
+    sendResponse(res, response.val, req.requestId)
     return { kind: 'answered' }
   }
   return concludeHandler(options, run)
 }
 
-function untilGivenUp (signal: AbortSignal): Promise<Result<never, Failure>> {
+function waitForAbort (signal: AbortSignal): Promise<Result<never, Failure>> {
   return new Promise(resolve => {
-    const giveUp = (): void => resolve(Err(createIndeterminateFailure('idempotency_in_progress', 'The request is being carried out. Ask again with the same key for its answer.')))
-    if (signal.aborted) return giveUp()
-    signal.addEventListener('abort', giveUp, { once: true })
+    const onAbort = (): void => resolve(Err(createIndeterminateFailure('idempotency_in_progress', 'The request is being carried out. Ask again with the same key for its answer.')))
+    if (signal.aborted) return onAbort()
+    signal.addEventListener('abort', onAbort, { once: true })
   })
 }
 
-function sendAnswer (res: ServerResponse, answer: ServiceResponse, requestId: string): void {
-  res.writeHead(answer.status, {
-    'content-type': answer.contentType,
-    'content-length': answer.body.length,
+function sendResponse (res: ServerResponse, response: ServiceResponse, requestId: string): void {
+  res.writeHead(response.status, {
+    'content-type': response.contentType,
+    'content-length': response.body.length,
     [REQUEST_ID_HEADER]: requestId
   })
-  res.end(answer.body)
+  res.end(response.body)
 }
--- a/packages/magnoliabay/src/node/entry/types.ts
+++ b/packages/magnoliabay/src/node/entry/types.ts
@@ -1,4 +1,4 @@
-/** What the entry's middleware adds to a request. */
+/** Types of requests and handlers of the entry. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Caller } from '../admission'
 import type { ExecutionTracker } from '../outcomes'
@@ -8,9 +8,9 @@
   /** Monotonic, milliseconds. */
   startedMs: number
   model?: string
-  /** From the start to the first byte of the answer. */
+  /** Milliseconds from the start to the first byte of the response. */
   firstTokenMs?: number
-  /** Whether it had to wait for a replica to be loaded. */
+  /** Whether the request waited for a replica to be loaded. */
   wasCold: boolean
 }
 
@@ -19,14 +19,14 @@
   caller: Caller
   rawBody: Buffer
   deadline: AbortableDeadline
-  /** What became of the request so far. */
+  /** Tracks whether the request may have run. */
   execution: ExecutionTracker
-  /** What the report and `explain` are told when the request ends. */
+  /** Measurements for the report and `explain`, recorded when the request ends. */
   observation: RequestObservation
   /** Set by polka. */
   params: Record<string, string>
   path: string
-  /** Query with its question mark, or empty. */
+  /** Query including the question mark; null or empty if there is none. */
   search: string | null
   query: Record<string, string | undefined>
 }
