--- a/packages/magnoliabay/src/node/instance.ts
+++ b/packages/magnoliabay/src/node/instance.ts
@@ -1,5 +1,5 @@
 /**
- * One instance of the system: every subsystem, joined.
+ * Creates one instance and connects its subsystems.
  */
 import { setMaxListeners } from 'node:events'
 import { createKeyring } from './admission'
@@ -33,8 +33,11 @@
 import { createInstanceTls } from './tls'
 import { createId } from './utils'
 
-/** What all instances together may ask of the store, well below its several hundred writes and two thousand reads. */
-const FLEET_CALLS_PER_SECOND = 1000
+/**
+ * Store calls per second of all instances together, well below the several hundred writes and two thousand reads that the
+ * store handles.
+ */
+const MAX_FLEET_STORE_CALLS_PER_SECOND = 1000
 
 export interface InstanceOptions {
   settings: ResolvedSettings
@@ -48,7 +51,7 @@
   readonly member: MemberRecord
   start (): Promise<void>
   isReady (): boolean
-  /** Ends in order: nothing is cut. */
+  /** Shuts down in order, without cutting open requests. */
   shutdown (): Promise<void>
 }
 
@@ -70,19 +73,19 @@
     processorShare: 0
   }
   const stop = new AbortController()
-  // Every subsystem's loop waits on it; Node takes more than ten waiters for a leak.
+  // The loops of all subsystems listen to this signal; by default Node warns of a leak at more than ten listeners.
   setMaxListeners(0, stop.signal)
   const metrics = createMetrics()
   const { callsPerSecond, burstCalls } = settings.platform
-  const storeWatch = createStoreHealthMonitor(clock, logger)
+  const storeHealth = createStoreHealthMonitor(clock, logger)
   const onCall = (call: StoreCallReport): void => {
-    storeWatch.recordCall(call)
+    storeHealth.recordCall(call)
     metrics.storeCalls.inc({ priority: call.priority, outcome: call.outcome })
   }
-  const store = createBudgetedStore(options.store, { callsPerSecond: () => Math.min(callsPerSecond, FLEET_CALLS_PER_SECOND / fleetSize()), burstCalls, clock, onCall })
+  const store = createBudgetedStore(options.store, { callsPerSecond: () => Math.min(callsPerSecond, MAX_FLEET_STORE_CALLS_PER_SECOND / fleetSize()), burstCalls, clock, onCall })
   const fleetSize = (): number => peers.members().length
   const tls = createInstanceTls({ settings, clock, logger })
-  const pools = createConnectionPools(null)
+  const connectionPools = createConnectionPools(null)
   const engines = createEngineClient()
   const peers = createPeerNetwork({ self, transport: tls.peerTransport, clock, logger, onGoodbye: member => proofs.recordGoodbye(member) })
   const proofs = createTerminationDetector({ peers, clock, logger })
@@ -92,10 +95,10 @@
   const keyring = createKeyring({ store, peers, clock, logger })
   const directory = createBackendDirectory({ list: options.list, peers, clock, logger, onRead: proofs.observeInstanceList })
   const allowance = createAllowance({ cfg, peers, store, clock, logger, proofs })
-  const lease = createRetentionLease({ store, clock, retentionSeconds: settings.once.retentionSeconds })
-  const writer = createForwardingWriter({ peers, localWriter: createBatchWriter({ store, lease, clock }) })
-  const inProgressMs = settings.limits.deadlineMs + settings.limits.serviceAnswerMs
-  const once = createIdempotencyClaims({ store, writer, holder: self.incarnation, clock, logger, inProgressTimeoutMs: inProgressMs })
+  const retentionLease = createRetentionLease({ store, clock, retentionSeconds: settings.once.retentionSeconds })
+  const writer = createForwardingWriter({ peers, localWriter: createBatchWriter({ store, lease: retentionLease, clock }) })
+  const inProgressTimeoutMs = settings.limits.deadlineMs + settings.limits.serviceAnswerMs
+  const idempotencyClaims = createIdempotencyClaims({ store, writer, holder: self.incarnation, clock, logger, inProgressTimeoutMs })
   const cells = createCells({ store, peers, membership, proofs, directory, engines, cfg, clock, logger })
   const routing = createReplicaRouter({ cells, cfg, directory, clock })
   const queue = createRequestQueue({
@@ -114,7 +117,7 @@
   cells.replicas.onChanged(queue.dispatch)
   const isReady = (): boolean => cfg.active().version > 0 && membership.leaseId() !== undefined && !self.leaving
   const report = createSloTracker({ cfg, peers, registry: metrics.registry, clock })
-  const entry = createEntryServer({ report, certificates: tls.callerCertificates, settings, cfg, keyring, allowance, queue, routing, directory, idempotencyClaims: once, connectionPools: pools, engineClient: engines, peers, clock, logger, metrics, isReady })
+  const entry = createEntryServer({ report, certificates: tls.callerCertificates, settings, cfg, keyring, allowance, queue, routing, directory, idempotencyClaims, connectionPools, engineClient: engines, peers, clock, logger, metrics, isReady })
   const audit = (manifest: Manifest): PutOperation => auditWrite({
     atMs: manifest.acceptedAtMs,
     operator: manifest.operator,
@@ -123,7 +126,7 @@
     detail: `version ${manifest.fromVersion} -> ${manifest.version} ${manifest.note}`.trim(),
     instance: id
   })
-  const acceptor = createConfigCommitter({ store, peers, configProvider: cfg, audit, clock, logger })
+  const configCommitter = createConfigCommitter({ store, peers, configProvider: cfg, audit, clock, logger })
   const handOver = async (): Promise<void> => {
     report.handOver()
     await cells.resign()
@@ -132,11 +135,11 @@
     await membership.announceLeaving()
     await handOver()
   }
-  const drain = createDrainer({ peers, logger, leave })
-  const commands = createOperatorCommands({ proofs, store, keyring, cfg, acceptor, drain, peers, clock })
+  const drainer = createDrainer({ peers, logger, leave })
+  const commands = createOperatorCommands({ terminationDetector: proofs, store, keyring, cfg, configCommitter, drainer, peers, clock })
   const queries = createOperatorQueries({ store, cfg, peers, clock })
   const { explain } = createExplainer({ peers, decisions })
-  const status = createStatus({ peers, cfg, replicas: cells.replicas, store: storeWatch })
+  const status = createStatus({ peers, cfg, replicas: cells.replicas, store: storeHealth })
   const operators = createOperatorServer({ settings, certificates: tls.operatorCertificates, commands, queries, status, explain, report, clock, logger })
 
   return {
@@ -166,13 +169,13 @@
         handOver,
         drain: entry.close,
         finish: async () => {
-          await once.waitForPendingWrites()
+          await idempotencyClaims.waitForPendingWrites()
           await allowance.handOver()
           await operators.close()
           stop.abort()
           await membership.deregister()
           await peers.close()
-          await Promise.all([pools.close(), engines.close()])
+          await Promise.all([connectionPools.close(), engines.close()])
         }
       }
     })
--- a/packages/magnoliabay/src/node/operators/authenticate.ts
+++ b/packages/magnoliabay/src/node/operators/authenticate.ts
@@ -1,4 +1,4 @@
-/** Operators' keys: named, apart from callers' keys, known by their digests from the settings. */
+/** Authenticates operators by named keys, whose digests are in the settings. They are separate from callers' keys. */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import type { ResolvedSettings } from '../config'
 import { createRefusal } from '../failures'
@@ -8,7 +8,7 @@
 const BEARER = /^Bearer +(\S+)$/i
 
 export interface OperatorRequest extends EntryRequest {
-  /** Name of the key that the operator came with. */
+  /** Name of the key that the operator used. */
   operator: string
 }
 
@@ -21,17 +21,17 @@
   return createHash('sha256').update(key).digest('hex')
 }
 
-/** Names the operator, or refuses. Compares with every key, in constant time each. */
+/** Sets the operator's name on the request, or refuses it. Compares with every key, each in constant time. */
 export function operatorMiddleware (settings: ResolvedSettings['operators']): Handler {
-  const known = namedDigests(settings)
+  const namedKeys = namedDigests(settings)
   return function authenticateOperator (req, res, next) {
-    const shown = BEARER.exec(req.headers.authorization ?? '')?.[1] ?? ''
+    const key = BEARER.exec(req.headers.authorization ?? '')?.[1] ?? ''
     delete req.headers.authorization
-    const digest = Buffer.from(operatorKeyDigest(shown), 'hex')
-    const matching = known.filter(candidate => candidate.digest.length === digest.length && timingSafeEqual(candidate.digest, digest))
-    if (matching.length === 0) return sendFailure(res, createRefusal('invalid_key', 'This needs an operator key.'), req.requestId)
+    const digest = Buffer.from(operatorKeyDigest(key), 'hex')
+    const matchingKeys = namedKeys.filter(candidate => candidate.digest.length === digest.length && timingSafeEqual(candidate.digest, digest))
+    if (matchingKeys.length === 0) return sendFailure(res, createRefusal('invalid_key', 'This needs an operator key.'), req.requestId)
     const operatorReq = req as OperatorRequest
-    operatorReq.operator = matching[0]!.name
+    operatorReq.operator = matchingKeys[0]!.name
     next()
   }
 }
--- a/packages/magnoliabay/src/node/operators/client.ts
+++ b/packages/magnoliabay/src/node/operators/client.ts
@@ -1,4 +1,4 @@
-/** Client of the operators' interface, for the command line and the embedded default. */
+/** Client of the operators' interface, for the command line and the embedded fleet. */
 import { Agent, request } from 'undici'
 import type { Dispatcher } from 'undici'
 import { BASE_DOCUMENT, formatProblem, parseTomlText, encodeDocument } from '../config'
@@ -14,57 +14,57 @@
 import type { FleetStatus } from './status'
 
 export interface OperatorClientOptions {
-  /** `ip:port` of the operators' interface of an instance, or of several: the next is asked when one cannot be reached. */
+  /** `ip:port` of the operators' interface of one or several instances; the next one is tried if one is unreachable. */
   address: string | readonly string[]
   key: string
-  /** PEM of the authority of the instances' certificates; given, calls go by TLS. */
+  /** Certificate authority of the instances, PEM; if given, calls use TLS. */
   ca?: string
 }
 
 export interface CreatedKey {
   id: string
-  /** Shown once. */
+  /** The secret key, which can't be read again. */
   key: string
   team: string
 }
 
-/** An answer that is no success: `error` is what the instance said. */
+/** A response with a status other than 200; `error` is the error in its body. */
 export class OperatorCallError extends Error {
   constructor (readonly status: number, readonly error: OperatorError | undefined, body: unknown) {
     super(`The instance answered with status ${status}: ${JSON.stringify(body)}`)
   }
 }
 
-/** No instance could be reached. */
+/** Thrown when no instance can be reached. */
 export class NoInstanceError extends Error {
   constructor (readonly addresses: readonly string[], cause: unknown) {
     super(`No instance can be reached at ${addresses.join(', ')}.`, { cause })
   }
 }
 
-/** A file that does not pass its check; nothing was sent. */
+/** Thrown for an invalid configuration file; nothing was sent. */
 export class ConfigFileError extends Error {}
 
 export interface PreparedChange extends EncodedDocument {
   document: string
   expectedVersion: number
-  /** The same change sent again, to any instance, is accepted once. */
+  /** Makes the call idempotent: a change that is sent again, to any instance, is accepted once. */
   changeId: string
   note: string
 }
 
-/** What of a change need not be sent: chunks that the fleet has. */
-export type BaseManifest = Pick<Manifest, 'core' | 'adapters'>
+/** Chunks that the fleet already has and that need not be sent. */
+export type KnownChunks = Pick<Manifest, 'core' | 'adapters'>
 
 export interface OperatorClient {
   createKey (team: string): Promise<CreatedKey>
   withdrawKey (keyId: string): Promise<void>
   keys (team?: string): Promise<KeySummary[]>
-  /** Makes `text` the newest version of the base and returns that version. */
+  /** Applies `text` as a new version of the base and returns that version. */
   applyConfig (text: string): Promise<number>
-  apply (change: PreparedChange, known?: BaseManifest): Promise<Manifest>
+  apply (change: PreparedChange, known?: KnownChunks): Promise<Manifest>
   config (): Promise<ConfigOverview>
-  /** The newest version, or the one given. */
+  /** Reads the given version, or the newest. */
   document (document: string, version?: number): Promise<DocumentContents>
   history (document: string): Promise<Manifest[]>
   rollout (document: string, version: number, timeoutMs: number): Promise<InstanceRollout[]>
@@ -79,35 +79,35 @@
 
 type Method = 'GET' | 'POST' | 'PUT'
 
-/** Failures after which the next instance may be asked: this one never got the call. */
-const NEVER_REACHED = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
-/** Calls that may be sent twice: queries, and a change, which carries its id. */
-const REPEATABLE: ReadonlySet<Method> = new Set(['GET', 'PUT'])
+/** Error codes of calls that never reached the instance, so that any call may be sent to the next one. */
+const UNDELIVERED_ERROR_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'])
+/** Methods of calls that may be sent twice: queries, and configuration changes, which have a change id. */
+const REPEATABLE_METHODS: ReadonlySet<Method> = new Set(['GET', 'PUT'])
 
 export function createOperatorClient (options: OperatorClientOptions): OperatorClient {
   const addresses = [options.address].flat()
   const scheme = options.ca === undefined ? 'http' : 'https'
   const dispatcher: Dispatcher | undefined = options.ca === undefined ? undefined : new Agent({ connect: { ca: options.ca } })
 
-  const callAt = async <T>(address: string, method: Method, path: string, body?: object): Promise<T> => {
+  const callInstance = async <T>(address: string, method: Method, path: string, body?: object): Promise<T> => {
     const res = await request(`${scheme}://${address}${path}`, {
       method,
       body: body === undefined ? undefined : JSON.stringify(body),
       headers: { authorization: `Bearer ${options.key}`, 'content-type': 'application/json' },
       dispatcher
     })
-    const answer = await res.body.json()
-    if (res.statusCode !== 200) throw new OperatorCallError(res.statusCode, (answer as { error?: OperatorError }).error, answer)
-    return answer as T
+    const responseBody = await res.body.json()
+    if (res.statusCode !== 200) throw new OperatorCallError(res.statusCode, (responseBody as { error?: OperatorError }).error, responseBody)
+    return responseBody as T
   }
   const call = async <T>(method: Method, path: string, body?: object): Promise<T> => {
     let cause: unknown
     for (const address of addresses) {
       try {
-        return await callAt<T>(address, method, path, body)
+        return await callInstance<T>(address, method, path, body)
       } catch (err) {
-        const isSafe = REPEATABLE.has(method) || NEVER_REACHED.has((err as { code?: string }).code ?? '')
-        if (err instanceof OperatorCallError || !isSafe) throw err
+        const canRetry = REPEATABLE_METHODS.has(method) || UNDELIVERED_ERROR_CODES.has((err as { code?: string }).code ?? '')
+        if (err instanceof OperatorCallError || !canRetry) throw err
         cause = err
       }
     }
@@ -116,14 +116,14 @@
   const get = <T>(path: string, query: Record<string, string | number | undefined> = {}): Promise<T> =>
     call<T>('GET', withQuery(path, query))
 
-  const apply = async (change: PreparedChange, known?: BaseManifest): Promise<Manifest> => {
+  const apply = async (change: PreparedChange, known?: KnownChunks): Promise<Manifest> => {
     const digests = new Set(known === undefined ? [] : [known.core, ...known.adapters])
     const chunks = Object.fromEntries(Object.entries(change.chunks).filter(([digest]) => !digests.has(digest)))
     try {
       return await call('PUT', '/operator/config', { ...change, chunks })
     } catch (err) {
-      const isMissed = err instanceof OperatorCallError && err.error?.kind === 'missing-chunks'
-      if (!isMissed || known === undefined) throw err
+      const isMissingChunks = err instanceof OperatorCallError && err.error?.kind === 'missing-chunks'
+      if (!isMissingChunks || known === undefined) throw err
       return await call('PUT', '/operator/config', change)
     }
   }
@@ -156,7 +156,7 @@
   }
 }
 
-/** Checks the text of a file and cuts it into chunks. Throws {@link ConfigFileError}. */
+/** Validates the text of a file and splits it into chunks. Throws {@link ConfigFileError}. */
 export function prepareTomlDocument (document: string, text: string): EncodedDocument {
   const prepared = parseTomlText(`${document}.toml`, text).andThen(value => encodeDocument(document, value))
   if (prepared.err) throw new ConfigFileError(prepared.val.problems.map(formatProblem).join('\n'))
--- a/packages/magnoliabay/src/node/operators/decisionLog.ts
+++ b/packages/magnoliabay/src/node/operators/decisionLog.ts
@@ -1,6 +1,6 @@
 /**
- * The last decisions of this instance with their reasons, kept in memory for `explain`. It is fed by the
- * logger: whatever subsystem logs an event about a request, a model, a team or an order is explained.
+ * Keeps the latest decisions of this instance and their reasons in memory for `explain`. It records the events of the
+ * logger that have a field `request`, `model`, `team` or `order`, whichever subsystem logs them.
  */
 import type { Clock } from '../clock'
 import type { LogFields, LogLevel, Logger } from '../logger'
@@ -16,52 +16,52 @@
 }
 
 export interface DecisionLog {
-  /** The same logger, with its events kept here as well, those below its level too. */
+  /** Returns a logger that also records its events here, including those below its level. */
   wrapLogger (logger: Logger): Logger
-  /** What is known about a subject, the oldest first. */
-  about (kind: SubjectKind, id: string): DecisionEvent[]
+  /** Returns the events about a subject, oldest first. */
+  eventsAbout (kind: SubjectKind, id: string): DecisionEvent[]
 }
 
 export interface DecisionLogOptions {
   instance: string
   clock: Clock
-  /** Events kept; some 300 bytes each. @default 5000 */
+  /** Most events kept; each takes some 300 bytes. @default 5000 */
   capacity?: number
 }
 
 const DEFAULT_CAPACITY = 5000
-/** An answer goes over a peer link: no more than this many, the newest ones. */
-const MAX_EVENTS_TOLD = 200
+/** Most events in a reply over a peer link; the newest ones are returned. */
+const MAX_EVENTS_RETURNED = 200
 
 export function createDecisionLog (options: DecisionLogOptions): DecisionLog {
   const capacity = options.capacity ?? DEFAULT_CAPACITY
-  const ring: DecisionEvent[] = []
+  const ringBuffer: DecisionEvent[] = []
   let next = 0
 
-  const keep = (event: string, fields: LogFields): void => {
+  const recordEvent = (event: string, fields: LogFields): void => {
     if (!SUBJECT_KINDS.some(kind => fields[kind] !== undefined)) return
-    ring[next % capacity] = { atMs: options.clock.now(), instance: options.instance, event, fields }
+    ringBuffer[next % capacity] = { atMs: options.clock.now(), instance: options.instance, event, fields }
     next += 1
   }
-  const inOrder = (): DecisionEvent[] => next <= capacity ? ring : [...ring.slice(next % capacity), ...ring.slice(0, next % capacity)]
+  const eventsInOrder = (): DecisionEvent[] => next <= capacity ? ringBuffer : [...ringBuffer.slice(next % capacity), ...ringBuffer.slice(0, next % capacity)]
   const wrap = (logger: Logger, bound: LogFields): Logger => {
-    const both = (level: LogLevel) => (event: string, fields: LogFields = {}): void => {
-      keep(event, { ...bound, ...fields })
+    const logAndRecord = (level: LogLevel) => (event: string, fields: LogFields = {}): void => {
+      recordEvent(event, { ...bound, ...fields })
       logger[level](event, fields)
     }
     return {
-      debug: both('debug'),
-      info: both('info'),
-      warn: both('warn'),
-      error: both('error'),
+      debug: logAndRecord('debug'),
+      info: logAndRecord('info'),
+      warn: logAndRecord('warn'),
+      error: logAndRecord('error'),
       with: fields => wrap(logger.with(fields), { ...bound, ...fields })
     }
   }
   return {
     wrapLogger: logger => wrap(logger, {}),
-    about: (kind, id) => {
-      const own = inOrder().filter(({ fields }) => fields[kind] === id)
-      return own.slice(-MAX_EVENTS_TOLD)
+    eventsAbout: (kind, id) => {
+      const own = eventsInOrder().filter(({ fields }) => fields[kind] === id)
+      return own.slice(-MAX_EVENTS_RETURNED)
     }
   }
 }
--- a/packages/magnoliabay/src/node/operators/drain.ts
+++ b/packages/magnoliabay/src/node/operators/drain.ts
@@ -1,4 +1,4 @@
-/** Taking one instance out of service without ending it: callers go elsewhere, what it holds goes to others. */
+/** Takes one instance out of service without stopping it: callers move to others, and it hands over what it holds. */
 import type { Logger } from '../logger'
 import { definePeerCall } from '../members'
 import type { PeerError, Peers } from '../members'
@@ -7,7 +7,7 @@
 export interface DrainOptions {
   peers: Peers
   logger: Logger
-  /** Leaves `locate` and hands over; does nothing when that is done already. */
+  /** Leaves `locate` and hands over; does nothing if this instance has done so already. */
   leave: () => Promise<void>
 }
 
@@ -15,16 +15,16 @@
   drain (instance: string, operator: string): Promise<Result<{ instance: string }, PeerError>>
 }
 
-const drainInstance = definePeerCall<{ operator: string }, { instance: string }>('operators.drain')
+const drainCall = definePeerCall<{ operator: string }, { instance: string }>('operators.drain')
 const DRAIN_TIMEOUT_MS = 15_000
 
 export function createDrainer ({ peers, logger, leave }: DrainOptions): Drainer {
-  peers.serve(drainInstance, async ({ operator }) => {
-    logger.info('instance-drained', { operator, reason: 'an operator asked for it' })
+  peers.serve(drainCall, async ({ operator }) => {
+    logger.info('instance-drained', { operator, reason: 'requested by an operator' })
     await leave()
     return { instance: peers.self.id }
   })
   return {
-    drain: (instance, operator) => peers.call(instance, drainInstance, { operator }, { timeoutMs: DRAIN_TIMEOUT_MS })
+    drain: (instance, operator) => peers.call(instance, drainCall, { operator }, { timeoutMs: DRAIN_TIMEOUT_MS })
   }
 }
--- a/packages/magnoliabay/src/node/operators/explain.ts
+++ b/packages/magnoliabay/src/node/operators/explain.ts
@@ -1,4 +1,4 @@
-/** Asks every instance what it decided about a subject, and why. */
+/** Collects from all instances their decisions about a subject and the reasons. */
 import { definePeerCall } from '../members'
 import type { Peers } from '../members'
 import { SUBJECT_KINDS } from './decisionLog'
@@ -7,7 +7,7 @@
 export interface Explanation {
   kind: SubjectKind
   id: string
-  /** The oldest first. Clocks of instances may differ by a little. */
+  /** Oldest first; the clocks of instances may differ slightly. */
   events: DecisionEvent[]
   /** Instances that did not answer. */
   unheard: string[]
@@ -17,10 +17,10 @@
   explain (kind: SubjectKind, id: string): Promise<Explanation>
 }
 
-const decisionsAbout = definePeerCall<{ kind: SubjectKind, id: string }, { events: DecisionEvent[] }>('operators.decisions')
-const ASK_TIMEOUT_MS = 2000
-/** By how much clocks of two instances may differ. */
-const CLOCK_SLACK_MS = 500
+const decisionsCall = definePeerCall<{ kind: SubjectKind, id: string }, { events: DecisionEvent[] }>('operators.decisions')
+const DECISIONS_TIMEOUT_MS = 2000
+/** Largest difference assumed between the clocks of two instances. */
+const MAX_CLOCK_DIFFERENCE_MS = 500
 
 export function isSubjectKind (text: string): text is SubjectKind {
   return SUBJECT_KINDS.some(kind => kind === text)
@@ -28,32 +28,32 @@
 
 export function createExplainer (options: { peers: Peers, decisions: DecisionLog }): Explainer {
   const { peers, decisions } = options
-  peers.serve(decisionsAbout, ({ kind, id }) => ({ events: decisions.about(kind, id) }))
-  const askAll = async (kind: SubjectKind, id: string): Promise<Omit<Explanation, 'kind' | 'id'>> => {
+  peers.serve(decisionsCall, ({ kind, id }) => ({ events: decisions.eventsAbout(kind, id) }))
+  const queryAllInstances = async (kind: SubjectKind, id: string): Promise<Omit<Explanation, 'kind' | 'id'>> => {
     const answers = await Promise.all(peers.members().map(async member =>
-      ({ member: member.id, answer: await peers.call(member.id, decisionsAbout, { kind, id }, { timeoutMs: ASK_TIMEOUT_MS }) })))
+      ({ member: member.id, answer: await peers.call(member.id, decisionsCall, { kind, id }, { timeoutMs: DECISIONS_TIMEOUT_MS }) })))
     const events = answers.flatMap(({ answer }) => answer.ok ? answer.val.events : [])
-    return { events: inOrder(events), unheard: answers.filter(({ answer }) => answer.err).map(({ member }) => member) }
+    return { events: sortByTime(events), unheard: answers.filter(({ answer }) => answer.err).map(({ member }) => member) }
   }
   return {
     explain: async (kind, id) => {
-      const own = await askAll(kind, id)
+      const own = await queryAllInstances(kind, id)
       const model = own.events.map(({ fields }) => fields.model).find(name => typeof name === 'string')
       if (kind !== 'request' || model === undefined) return { kind, id, ...own }
-      const around = await askAll('model', String(model))
-      return { kind, id, events: inOrder([...own.events, ...meanwhile(around.events, own.events)]), unheard: own.unheard }
+      const modelEvents = await queryAllInstances('model', String(model))
+      return { kind, id, events: sortByTime([...own.events, ...eventsDuring(modelEvents.events, own.events)]), unheard: own.unheard }
     }
   }
 }
 
-/** A request waits for what stewards decide about its model, at whatever instance they are. */
-function meanwhile (events: readonly DecisionEvent[], own: readonly DecisionEvent[]): DecisionEvent[] {
+/** Returns the events that fall in the time of the request: cell leaders on any instance may decide about its model. */
+function eventsDuring (events: readonly DecisionEvent[], own: readonly DecisionEvent[]): DecisionEvent[] {
   const endMs = own.at(-1)!.atMs
   const tookMs = own.map(({ fields }) => Number(fields.tookMs ?? 0)).reduce((most, ms) => Math.max(most, ms), 0)
   const startMs = Math.min(own[0]!.atMs, endMs - tookMs)
-  return events.filter(({ atMs, fields }) => fields.request === undefined && atMs >= startMs - CLOCK_SLACK_MS && atMs <= endMs + CLOCK_SLACK_MS)
+  return events.filter(({ atMs, fields }) => fields.request === undefined && atMs >= startMs - MAX_CLOCK_DIFFERENCE_MS && atMs <= endMs + MAX_CLOCK_DIFFERENCE_MS)
 }
 
-function inOrder (events: DecisionEvent[]): DecisionEvent[] {
+function sortByTime (events: DecisionEvent[]): DecisionEvent[] {
   return events.sort((left, right) => left.atMs - right.atMs)
 }
--- a/packages/magnoliabay/src/node/operators/index.ts
+++ b/packages/magnoliabay/src/node/operators/index.ts
@@ -1,4 +1,4 @@
-/** The operators' interface, apart from the callers': its own address, its own keys. */
+/** HTTP server of the operators' interface, which has its own address and keys, separate from those of callers. */
 import type { ServerResponse } from 'node:http'
 import polka from 'polka'
 import type { Clock } from '../clock'
@@ -19,12 +19,12 @@
 
 export { operatorKeyDigest } from './authenticate'
 
-/** A change may bring all chunks of 80,000 adapters. */
+/** A configuration change may contain all chunks of 80,000 adapters. */
 const MAX_OPERATOR_BODY_BYTES = 16 * 1024 * 1024
 
 export interface OperatorServerOptions extends RouteOptions {
   settings: ResolvedSettings
-  /** @default plain text */
+  /** @default none: plain HTTP */
   certificates?: Certificates
   clock: Clock
   logger: Logger
--- a/packages/magnoliabay/src/node/operators/queries.ts
+++ b/packages/magnoliabay/src/node/operators/queries.ts
@@ -1,4 +1,4 @@
-/** What operators ask. Nothing here changes anything. */
+/** Operator calls that only read. */
 import { KEY_RECORDS_PREFIX } from '../admission'
 import type { CallerKeyRecord } from '../admission'
 import type { Clock } from '../clock'
@@ -18,13 +18,13 @@
 
 export interface ConfigOverview {
   documents: Manifest[]
-  /** Documents whose record in the store cannot be read. */
+  /** Documents whose record in the store is damaged. */
   damaged: string[]
-  /** In force on the instance that answers. */
+  /** Versions that are active on the responding instance. */
   inForce: readonly DocumentVersion[]
 }
 
-/** A version with the contents of its chunks, for the command line to decode. */
+/** A version with the contents of its chunks, which the command line decodes. */
 export interface DocumentContents {
   manifest: Manifest
   contents: Record<string, string>
@@ -34,28 +34,28 @@
   instance: string
   failureDomain: string
   isInForce: boolean
-  /** In force there; undefined when it did not answer. */
+  /** Version active on the instance; undefined if it did not respond. */
   version?: number
-  /** Why it is not in force, as far as known. */
+  /** Why the requested version is not active, as far as known. */
   reason?: string
 }
 
-/** A key as operators may see it: without its digest. */
+/** A key record without its digest, as operators may see it. */
 export type KeySummary = Omit<CallerKeyRecord, 'digest'>
 
 export type ConfigEntry = TeamConfig | ModelConfig | AdapterConfig | ServiceConfig
 
 export interface EntryList {
   version: number
-  /** Entries there are, also those left out. */
+  /** Number of entries, including those left out of `entries`. */
   total: number
   entries: readonly ConfigEntry[]
 }
 
-/** 80,000 adapters are no answer to anybody. */
+/** Most entries in a response: a fleet may have 80,000 adapters. */
 const MAX_ENTRIES = 1000
 
-const FINDERS: Record<EntryKind, (cfg: ConfigProvider, name: string) => ConfigEntry | undefined> = {
+const ENTRY_LOOKUPS: Record<EntryKind, (cfg: ConfigProvider, name: string) => ConfigEntry | undefined> = {
   team: (cfg, name) => cfg.team(name),
   model: (cfg, name) => cfg.model(name),
   adapter: (cfg, name) => cfg.adapter(name),
@@ -64,13 +64,13 @@
 
 export interface OperatorQueries {
   config (): Promise<Result<ConfigOverview, OperatorError>>
-  /** Version 0 stands for the newest. */
+  /** Reads a version; 0 stands for the newest. */
   document (document: string, version: number): Promise<Result<DocumentContents, OperatorError>>
   history (document: string): Promise<Result<Manifest[], OperatorError>>
-  /** Where the version is in force; waits for that up to `timeoutMs`. */
+  /** Returns on which instances the version is active; waits up to `timeoutMs` until it is active on all of them. */
   rollout (document: string, version: number, timeoutMs: number): Promise<InstanceRollout[]>
   keys (team: string | undefined): Promise<Result<KeySummary[], OperatorError>>
-  /** Entries in force on the instance that answers; of one name, or the first ones. */
+  /** Returns the active entries of the responding instance: the one of that name, or the first ones. */
   entries (kind: EntryKind, name: string | undefined): EntryList
   audit (): Promise<Result<AuditRecord[], OperatorError>>
 }
@@ -82,28 +82,28 @@
   clock: Clock
 }
 
-const SPREAD_POLL_MS = 100
+const ROLLOUT_POLL_INTERVAL_MS = 100
 
 export function createOperatorQueries (options: OperatorQueriesOptions): OperatorQueries {
   const { store, cfg, peers, clock } = options
   const sources = { store, configProvider: cfg, clock }
 
-  const manifestOf = async (document: string, version: number): Promise<Result<Manifest, OperatorError>> => {
-    const unknown: OperatorError = { kind: 'unknown-version', document, version }
-    const held = cfg.latestDocument(document)?.manifest
-    if (held !== undefined && held.version === version) return Ok(held)
+  const findManifest = async (document: string, version: number): Promise<Result<Manifest, OperatorError>> => {
+    const unknownVersion: OperatorError = { kind: 'unknown-version', document, version }
+    const latest = cfg.latestDocument(document)?.manifest
+    if (latest !== undefined && latest.version === version) return Ok(latest)
     if (version > 0) {
       const manifest = await readManifest(store, document, version)
       if (manifest.err) return Err(storeError(manifest.val))
-      return manifest.val === undefined ? Err(unknown) : Ok(manifest.val)
+      return manifest.val === undefined ? Err(unknownVersion) : Ok(manifest.val)
     }
     const heads = await readHeads(store)
-    // With the store dark, the newest that this instance knows is the best answer there is.
-    if (heads.err) return held === undefined ? Err(storeError(heads.val)) : Ok(held)
+    // While the store is unavailable, the newest version known to this instance is returned.
+    if (heads.err) return latest === undefined ? Err(storeError(heads.val)) : Ok(latest)
     const head = heads.val.get(document)?.head
-    return head === undefined ? Err(unknown) : Ok(head.manifest)
+    return head === undefined ? Err(unknownVersion) : Ok(head.manifest)
   }
-  const askInstance = async (id: string, failureDomain: string, document: string, version: number): Promise<InstanceRollout | undefined> => {
+  const queryInstance = async (id: string, failureDomain: string, document: string, version: number): Promise<InstanceRollout | undefined> => {
     const answer = await peers.call(id, configInForceCall, {})
     if (answer.err) return { instance: id, failureDomain, isInForce: false, reason: answer.val.message }
     if (!answer.val.follows.includes(document)) return undefined
@@ -111,10 +111,10 @@
     if (found !== undefined && found >= version) return { instance: id, failureDomain, isInForce: true, version: found }
     return { instance: id, failureDomain, isInForce: false, version: found ?? 0, reason: 'an older version is in force there' }
   }
-  /** Another site's instances never take this site's overlay: waiting for them would always end as a failure. */
-  const askAll = async (document: string, version: number): Promise<InstanceRollout[]> => {
-    const asked = await Promise.all(peers.members().map(member => askInstance(member.id, member.failureDomain, document, version)))
-    return asked.filter(one => one !== undefined)
+  /** Leaves out instances of other sites: they never apply this site's overlay, so waiting for them would always time out. */
+  const queryAllInstances = async (document: string, version: number): Promise<InstanceRollout[]> => {
+    const rollouts = await Promise.all(peers.members().map(member => queryInstance(member.id, member.failureDomain, document, version)))
+    return rollouts.filter(one => one !== undefined)
   }
 
   return {
@@ -129,7 +129,7 @@
       })
     },
     document: async (document, version) => {
-      const manifest = await manifestOf(document, version)
+      const manifest = await findManifest(document, version)
       if (manifest.err) return manifest
       const read = await readVersion(sources, manifest.val, {})
       return read.ok ? Ok({ manifest: manifest.val, contents: Object.fromEntries(read.val.contents) }) : read
@@ -138,9 +138,9 @@
     rollout: async (document, version, timeoutMs) => {
       const startedMs = clock.monotonic()
       for (;;) {
-        const found = await askAll(document, version)
+        const found = await queryAllInstances(document, version)
         if (found.every(one => one.isInForce) || clock.monotonic() - startedMs >= timeoutMs) return found
-        await sleep(clock, SPREAD_POLL_MS)
+        await sleep(clock, ROLLOUT_POLL_INTERVAL_MS)
       }
     },
     keys: async team => {
@@ -153,7 +153,7 @@
     },
     entries: (kind, name) => {
       const { version, fleet } = cfg.active()
-      const all: readonly ConfigEntry[] = name === undefined ? fleet[kind] : [FINDERS[kind](cfg, name) ?? []].flat()
+      const all: readonly ConfigEntry[] = name === undefined ? fleet[kind] : [ENTRY_LOOKUPS[kind](cfg, name) ?? []].flat()
       return { version, total: all.length, entries: all.slice(0, MAX_ENTRIES) }
     },
     audit: async () => (await readAudit(store)).mapErr(storeError)
--- a/packages/magnoliabay/src/node/operators/routes.ts
+++ b/packages/magnoliabay/src/node/operators/routes.ts
@@ -1,4 +1,4 @@
-/** The operators' interface: which path asks or changes what. */
+/** Routes of the operators' interface. */
 import type { ServerResponse } from 'node:http'
 import * as v from 'valibot'
 import { isDocumentName } from '../config'
@@ -15,7 +15,7 @@
 import type { Explainer } from './explain'
 import type { OperatorQueries } from './queries'
 
-const STATUS_OF_ERROR: Record<OperatorError['kind'], number> = {
+const ERROR_HTTP_STATUS: Record<OperatorError['kind'], number> = {
   store: 503,
   unknown: 504,
   conflict: 409,
@@ -28,8 +28,8 @@
   'not-drained': 502
 }
 
-const DEFAULT_SPREAD_TIMEOUT_MS = 10_000
-const MAX_SPREAD_TIMEOUT_MS = 60_000
+const DEFAULT_ROLLOUT_TIMEOUT_MS = 10_000
+const MAX_ROLLOUT_TIMEOUT_MS = 60_000
 
 const digest = v.string()
 const applySchema = v.strictObject({
@@ -41,7 +41,7 @@
   adapters: v.array(digest),
   chunks: v.record(v.string(), v.string())
 })
-const goneSchema = v.strictObject({ member: v.string(), incarnation: v.string() })
+const declareGoneSchema = v.strictObject({ member: v.string(), incarnation: v.string() })
 const createKeySchema = v.strictObject({ team: v.string() })
 
 export interface OperatorRoute {
@@ -79,7 +79,7 @@
       method: 'GET',
       path: '/operator/config/spread',
       handle: async (req, res) => {
-        const timeoutMs = Math.min(MAX_SPREAD_TIMEOUT_MS, Number(req.query.timeoutMs ?? DEFAULT_SPREAD_TIMEOUT_MS))
+        const timeoutMs = Math.min(MAX_ROLLOUT_TIMEOUT_MS, Number(req.query.timeoutMs ?? DEFAULT_ROLLOUT_TIMEOUT_MS))
         sendJson(res, 200, await queries.rollout(documentOf(req), versionOf(req), timeoutMs))
       }
     },
@@ -95,7 +95,7 @@
     {
       method: 'POST',
       path: '/operator/gone',
-      handle: (req, res) => withBody(req, res, goneSchema, process => commands.declareGone(process, req.operator))
+      handle: (req, res) => withBody(req, res, declareGoneSchema, process => commands.declareGone(process, req.operator))
     },
     { method: 'POST', path: '/operator/drain/:instance', handle: async (req, res) => reply(res, await commands.drain(req.params.instance!, req.operator)) },
     {
@@ -128,7 +128,7 @@
 
 function reply<T> (res: ServerResponse, result: Result<T, OperatorError>): void {
   if (result.ok) return sendJson(res, 200, result.val)
-  sendJson(res, STATUS_OF_ERROR[result.val.kind], { error: result.val })
+  sendJson(res, ERROR_HTTP_STATUS[result.val.kind], { error: result.val })
 }
 
 function documentOf (req: OperatorRequest): string {
--- a/packages/magnoliabay/src/node/operators/status.ts
+++ b/packages/magnoliabay/src/node/operators/status.ts
@@ -1,4 +1,4 @@
-/** What `status` shows: this instance's view of the fleet. */
+/** Status of the fleet as this instance sees it, for `status`. */
 import type { ReplicaEntry } from '../cells'
 import type { ConfigProvider, DocumentVersion } from '../config'
 import type { MemberRecord, Peers } from '../members'
@@ -13,14 +13,14 @@
   entryAddress: string
   operatorAddress: string
   leaving: boolean
-  /** Whether the instance that answers has a link to it. */
+  /** Whether the responding instance has a link to this member. */
   isConnected: boolean
 }
 
 export interface StoreStatus {
-  /** Seconds since a call was answered; undefined before the first. */
+  /** Seconds since the last successful call; undefined before the first. */
   answeredSecondsAgo?: number
-  /** Outcome of the last call. */
+  /** Outcome of the latest call. */
   lastOutcome?: string
 }
 
@@ -39,32 +39,32 @@
   status (): StoreStatus
 }
 
-/** Calls with these outcomes tell that the service itself doesn't answer. */
-const AWAY: ReadonlySet<string> = new Set(['unavailable', 'unknown'])
+/** Outcomes of calls that the store did not answer. */
+const UNAVAILABLE_OUTCOMES: ReadonlySet<string> = new Set(['unavailable', 'unknown'])
 
 export function createStoreHealthMonitor (clock: Clock, logger: Logger): StoreHealthMonitor {
-  let answeredMs: number | undefined
+  let lastAnsweredMs: number | undefined
   let lastOutcome: string | undefined
-  let awaySinceMs: number | undefined
+  let unavailableSinceMs: number | undefined
 
-  /** One line when the store goes and one when it is back, whatever is called meanwhile. */
-  const logChange = (outcome: string): void => {
-    if (AWAY.has(outcome) && awaySinceMs === undefined) {
-      awaySinceMs = clock.monotonic()
+  /** Logs one line when the store becomes unavailable and one when it responds again, however many calls fail in between. */
+  const logAvailabilityChange = (outcome: string): void => {
+    if (UNAVAILABLE_OUTCOMES.has(outcome) && unavailableSinceMs === undefined) {
+      unavailableSinceMs = clock.monotonic()
       logger.warn('store-away', { outcome })
     }
-    if (outcome !== 'ok' || awaySinceMs === undefined) return
-    logger.info('store-back', { awaySeconds: Math.round((clock.monotonic() - awaySinceMs) / 1000) })
-    awaySinceMs = undefined
+    if (outcome !== 'ok' || unavailableSinceMs === undefined) return
+    logger.info('store-back', { awaySeconds: Math.round((clock.monotonic() - unavailableSinceMs) / 1000) })
+    unavailableSinceMs = undefined
   }
   return {
     recordCall: ({ outcome }) => {
       lastOutcome = outcome
-      logChange(outcome)
-      if (outcome === 'ok') answeredMs = clock.monotonic()
+      logAvailabilityChange(outcome)
+      if (outcome === 'ok') lastAnsweredMs = clock.monotonic()
     },
     status: () => ({
-      answeredSecondsAgo: answeredMs === undefined ? undefined : Math.round((clock.monotonic() - answeredMs) / 1000),
+      answeredSecondsAgo: lastAnsweredMs === undefined ? undefined : Math.round((clock.monotonic() - lastAnsweredMs) / 1000),
       lastOutcome
     })
   }
