--- a/packages/magnoliabay/src/node/commands/config.ts
+++ b/packages/magnoliabay/src/node/commands/config.ts
@@ -1,4 +1,4 @@
-/** `magnoliabay config …`: the base file and the sites' overlays. */
+/** `magnoliabay config …`: checks, applies and shows the base file and the sites' overlays. */
 import { formatProblem } from '../config'
 import { planChange } from '../config/plan'
 import { ConfigFileError, OperatorCallError } from '../operators/client'
@@ -13,19 +13,19 @@
 import type { Command, CommandContext, ExitCode } from './types'
 
 const DEFAULT_WAIT_SECONDS = '18'
-const NO_FACTS = { replicasOf: () => 0, keysOf: () => [] }
+const NO_FLEET_FACTS = { replicasOf: () => 0, keysOf: () => [] }
 
 type Action = 'check' | 'plan' | 'apply' | 'status' | 'history' | 'export'
 
-/** Each takes what stands after its name on the command line. */
+/** Actions by name; each gets the arguments after its name. */
 const ACTIONS: Record<Action, (context: CommandContext, rest: readonly string[]) => Promise<ExitCode>> = {
   check: async ({ print, printError }, [directory = '.']) => {
     const files = await Promise.all((await readConfigFiles(directory)).map(prepareFile))
     const after = new Map(files.map(file => [file.document, file.body]))
-    const { problems } = planChange({ before: new Map(), after }, NO_FACTS)
+    const { problems } = planChange({ before: new Map(), after }, NO_FLEET_FACTS)
     problems.forEach(problem => printError(formatProblem(problem)))
     if (problems.length > 0) return EXIT_FAILED
-    print(`${files.length} files hold together: ${files.map(file => file.document).join(', ')}`)
+    print(`${files.length} files are consistent: ${files.map(file => file.document).join(', ')}`)
     return EXIT_SUCCESS
   },
   plan: async (context, [directory = '.']) => {
@@ -44,7 +44,7 @@
     if (plan.changed.length === 0) return EXIT_SUCCESS
     const changeId = typeof values.change === 'string' ? values.change : undefined
     try {
-      const applied = await applyFiles({ client, plan, note: String(values.note ?? ''), changeId, waitMs: Number(values.wait) * 1000 })
+      const applied = await applyFiles({ client, plan, note: String(values.note ?? ''), changeId, rolloutTimeoutMs: Number(values.wait) * 1000 })
       print(values.json === true ? formatJson(applied) : formatApplied(applied))
       return applied.every(({ spread }) => spread.every(one => one.isInForce)) ? EXIT_SUCCESS : EXIT_FAILED
     } catch (err) {
@@ -56,9 +56,9 @@
   status: async context => {
     const client = await connect(context)
     const { documents, damaged } = await client.config()
-    const spreads = await Promise.all(documents.map(async manifest => ({ manifest, spread: await client.rollout(manifest.document, manifest.version, 0) })))
-    context.print(context.values.json === true ? formatJson({ documents: spreads, damaged }) : formatApplied(spreads))
-    if (damaged.length > 0) context.printError(`The store's record of ${damaged.join(', ')} is damaged. What is in force stays; apply it again to mend the record.`)
+    const rollouts = await Promise.all(documents.map(async manifest => ({ manifest, spread: await client.rollout(manifest.document, manifest.version, 0) })))
+    context.print(context.values.json === true ? formatJson({ documents: rollouts, damaged }) : formatApplied(rollouts))
+    if (damaged.length > 0) context.printError(`The store's record of ${damaged.join(', ')} is damaged. The active version stays active; apply it again to repair the record.`)
     return EXIT_SUCCESS
   },
   history: async (context, [document = 'base']) => {
@@ -88,17 +88,17 @@
   options: {
     ...CONNECTION_OPTIONS,
     ...JSON_OPTION,
-    note: { type: 'string', value: 'TEXT', description: 'apply: what the change is for; kept with the version.' },
-    change: { type: 'string', value: 'ID', description: 'apply: id of the change. After an answer that did not come, the same id applies it once.' },
-    wait: { type: 'string', value: 'SECONDS', description: `apply: how long to wait until it is in force everywhere. Default ${DEFAULT_WAIT_SECONDS}.`, default: DEFAULT_WAIT_SECONDS },
+    note: { type: 'string', value: 'TEXT', description: 'apply: why the change is made; stored with the version.' },
+    change: { type: 'string', value: 'ID', description: 'apply: id of the change. If a call got no answer, repeating it with the same id applies the change only once.' },
+    wait: { type: 'string', value: 'SECONDS', description: `apply: how long to wait until it is active on all instances. Default ${DEFAULT_WAIT_SECONDS}.`, default: DEFAULT_WAIT_SECONDS },
     document: { type: 'string', value: 'NAME', description: 'export: only base, or sites/<site>.' },
     version: { type: 'string', value: 'N', description: 'export: an earlier version.' },
-    print: { type: 'boolean', description: 'export: to the terminal instead of files.' }
+    print: { type: 'boolean', description: 'export: print to the terminal instead of writing files.' }
   },
   run: async context => {
     const [name = '', ...rest] = context.positionals
     const action = ACTIONS[name as Action]
-    if (action === undefined) throw new UsageError(`Say what to do: magnoliabay config ${Object.keys(ACTIONS).join(' | ')}`)
+    if (action === undefined) throw new UsageError(`Name an action: magnoliabay config ${Object.keys(ACTIONS).join(' | ')}`)
     try {
       return await action(context, rest)
     } catch (err) {
@@ -111,14 +111,14 @@
 
 function formatApplied (applied: readonly AppliedDocument[]): string {
   return applied.map(({ manifest, spread }) => {
-    const inForce = spread.filter(one => one.isInForce)
-    const notYet = spread.filter(one => !one.isInForce)
+    const active = spread.filter(one => one.isInForce)
+    const inactive = spread.filter(one => !one.isInForce)
     return [
       `${manifest.document} version ${manifest.version}, by ${manifest.operator}, change ${manifest.changeId}`,
       spread.length === 0
         ? '  no instance of that site is known'
-        : `  in force on ${inForce.length} of ${spread.length}: ${inForce.map(one => one.instance).join(', ')}`,
-      ...notYet.map(one => `  not on ${one.instance} (${one.failureDomain}): ${one.reason ?? 'unknown'}`)
+        : `  active on ${active.length} of ${spread.length}: ${active.map(one => one.instance).join(', ')}`,
+      ...inactive.map(one => `  not on ${one.instance} (${one.failureDomain}): ${one.reason ?? 'unknown'}`)
     ].join('\n')
   }).join('\n')
 }
@@ -126,7 +126,7 @@
 function describeRefusal (err: OperatorCallError): string {
   const { error } = err
   if (error?.kind === 'config') return ['Refused:', ...error.cause.problems.map(formatProblem)].join('\n')
-  if (error?.kind === 'unknown') return `The store did not answer. The change may be in force: apply again with --change ${error.changeId.replace(/-(base|sites\/.*)$/, '')}`
+  if (error?.kind === 'unknown') return `The store did not answer. The change may be active: apply again with --change ${error.changeId.replace(/-(base|sites\/.*)$/, '')}`
   if (error?.kind === 'store') return `Not applied: ${error.cause.message}`
   return err.message
 }
--- a/packages/magnoliabay/src/node/commands/configApply.ts
+++ b/packages/magnoliabay/src/node/commands/configApply.ts
@@ -1,4 +1,4 @@
-/** Applying the files of a directory: the changed ones, each against the version that the operator saw. */
+/** Applies the changed files of a directory, each against the version that the operator saw. */
 import { BASE_DOCUMENT } from '../config'
 import type { Manifest } from '../config'
 import { diffFleets, formatChange } from '../config/plan'
@@ -15,7 +15,7 @@
 
 export interface AppliedDocument {
   manifest: Manifest
-  /** Where it is in force, and where not. */
+  /** Whether the version is active, for each instance. */
   spread: InstanceRollout[]
 }
 
@@ -23,37 +23,40 @@
   client: OperatorClient
   plan: DirectoryPlan
   note: string
-  /** Sent again with the same id, a change is accepted once. @default a new one for each document */
+  /**
+   * Makes the call idempotent: a change that is sent again with the same id is accepted once.
+   * @default a new id for each document
+   */
   changeId?: string
-  /** How long to wait until the change is in force everywhere. */
-  waitMs: number
+  /** How long to wait until the change is active on all instances, milliseconds. */
+  rolloutTimeoutMs: number
 }
 
 export async function applyFiles (options: ApplyOptions): Promise<AppliedDocument[]> {
-  const accepted = await acceptInOrder(options, options.plan.changed)
+  const accepted = await applyInOrder(options, options.plan.changed)
   return await Promise.all(accepted.map(async manifest => ({
     manifest,
-    spread: await options.client.rollout(manifest.document, manifest.version, options.waitMs)
+    spread: await options.client.rollout(manifest.document, manifest.version, options.rolloutTimeoutMs)
   })))
 }
 
 /**
- * The base goes first, since overlays name what it has. A base that takes away what an overlay still names
- * is refused there, and goes after the overlays.
+ * Applies the base first, since overlays refer to its entries. If that is refused, as when the base removes an entry to
+ * which an overlay still refers, applies the overlays first.
  */
-async function acceptInOrder (options: ApplyOptions, files: readonly PreparedFile[]): Promise<Manifest[]> {
+async function applyInOrder (options: ApplyOptions, files: readonly PreparedFile[]): Promise<Manifest[]> {
   const base = files.filter(file => file.document === BASE_DOCUMENT)
   const overlays = files.filter(file => file.document !== BASE_DOCUMENT)
   try {
-    return await acceptAll(options, [...base, ...overlays])
+    return await applyAll(options, [...base, ...overlays])
   } catch (err) {
-    const isContradiction = err instanceof OperatorCallError && err.error?.kind === 'config'
-    if (!isContradiction || base.length === 0 || overlays.length === 0) throw err
-    return await acceptAll(options, [...overlays, ...base])
+    const isConfigRefused = err instanceof OperatorCallError && err.error?.kind === 'config'
+    if (!isConfigRefused || base.length === 0 || overlays.length === 0) throw err
+    return await applyAll(options, [...overlays, ...base])
   }
 }
 
-async function acceptAll (options: ApplyOptions, files: readonly PreparedFile[]): Promise<Manifest[]> {
+async function applyAll (options: ApplyOptions, files: readonly PreparedFile[]): Promise<Manifest[]> {
   const accepted: Manifest[] = []
   for (const file of files) {
     accepted.push(await options.client.apply({
@@ -67,12 +70,12 @@
   return accepted
 }
 
-/** What the file says that it was exported from, else what the plan was worked out against. */
+/** Returns the version from which the file was exported, else the version that the plan is based on. */
 export function expectedVersion (plan: DirectoryPlan, file: PreparedFile): number {
   return file.version ?? plan.current.get(file.document)?.manifest.version ?? 0
 }
 
-/** Both sides of a conflict, each as what it changes in the version that the operator saw. */
+/** Describes both sides of a conflict as their changes to the version that the operator saw. */
 export async function describeConflict (client: OperatorClient, plan: DirectoryPlan, err: OperatorCallError): Promise<string | undefined> {
   if (err.error?.kind !== 'conflict') return undefined
   const { current, expectedVersion: seen } = err.error
@@ -96,7 +99,7 @@
 
 function describeChanges (base: DocumentBody | undefined, before: DocumentBody | undefined, after: DocumentBody | undefined): string[] {
   const next = resolveBody(base, after)
-  if (after === undefined || next === undefined) return ['  not to be told']
+  if (after === undefined || next === undefined) return ['  not available']
   const isFirstOverlay = before === undefined && after.document !== BASE_DOCUMENT
   const changes = diffFleets(resolveBody(base, isFirstOverlay ? base : before), next)
   return changes.length === 0 ? ['  no change'] : changes.map(change => `  ${formatChange(change)}`)
--- a/packages/magnoliabay/src/node/commands/configFiles.ts
+++ b/packages/magnoliabay/src/node/commands/configFiles.ts
@@ -1,4 +1,4 @@
-/** The configuration as files: `base.toml`, and `sites/<site>.toml` beside it. */
+/** Reads and writes the configuration as files: `base.toml`, and `sites/<site>.toml` in the same directory. */
 import { mkdir, readFile, readdir, writeFile } from 'node:fs/promises'
 import { dirname, join } from 'node:path'
 import { stringify } from 'smol-toml'
@@ -10,14 +10,14 @@
 export interface ConfigFile {
   document: string
   text: string
-  /** The version that the file was exported from, if it says so. */
+  /** The version from which the file was exported, if the file has a version line. */
   version?: number
 }
 
 const TOML_FILE = /^(.+)\.toml$/
 const VERSION_LINE = /^# magnoliabay version (\d+)$/m
 
-/** Every file there is under `directory`, the base first. */
+/** Reads all configuration files in `directory`, the base first. */
 export async function readConfigFiles (directory: string): Promise<ConfigFile[]> {
   const sites = (await readdir(join(directory, 'sites')).catch(() => []))
     .flatMap(file => TOML_FILE.exec(file)?.[1] ?? [])
@@ -33,7 +33,7 @@
   return { document, text, version: version === undefined ? undefined : Number(version) }
 }
 
-/** Bytes that are no text would come out as other names than were meant. */
+/** Rejects bytes that are not UTF-8: replacement characters would change names. */
 function decodeText (document: string, bytes: Buffer): string {
   try {
     return new TextDecoder('utf-8', { fatal: true }).decode(bytes)
@@ -42,7 +42,7 @@
   }
 }
 
-/** Writes one document; the version in its first line is what a later `apply` is compared with. */
+/** Writes one document; a later `apply` expects the version in its first line to be the newest. */
 export async function writeConfigFile (directory: string, body: DocumentBody, version: number): Promise<string> {
   const file = join(directory, documentFileName(body.document))
   await mkdir(dirname(file), { recursive: true })
--- a/packages/magnoliabay/src/node/commands/configPlan.ts
+++ b/packages/magnoliabay/src/node/commands/configPlan.ts
@@ -1,15 +1,15 @@
-/** What the files in a directory would change, worked out against the fleet as it is. */
+/** Plans what the files in a directory would change in the current configuration. */
 import { BASE_DOCUMENT } from '../config'
 import { formatChange, formatEffect, planChange } from '../config/plan'
 import type { Plan, SitePlan } from '../config/plan'
 import { formatProblem } from '../config'
 import type { OperatorClient } from '../operators/client'
-import { prepareFile, readAllCurrent, sameContent } from './configDocuments'
+import { prepareFile, readAllCurrent, hasSameContent } from './configDocuments'
 import type { CurrentDocument, PreparedFile } from './configDocuments'
 import { readConfigFiles } from './configFiles'
 
 export interface DirectoryPlan extends Plan {
-  /** Files that differ from what is there. */
+  /** Files that differ from the current configuration. */
   changed: PreparedFile[]
   current: ReadonlyMap<string, CurrentDocument>
 }
@@ -27,7 +27,7 @@
     replicasOf: model => status.replicas.filter(replica => replica.model === model).length,
     keysOf: team => keys.filter(key => key.team === team && key.withdrawnAtMs === undefined).map(key => key.id)
   })
-  return { ...plan, current, changed: files.filter(file => !sameContent(file, current.get(file.document))) }
+  return { ...plan, current, changed: files.filter(file => !hasSameContent(file, current.get(file.document))) }
 }
 
 export function formatPlan ({ changed, current, sites, problems }: DirectoryPlan): string {
--- a/packages/magnoliabay/src/node/commands/connection.ts
+++ b/packages/magnoliabay/src/node/commands/connection.ts
@@ -1,4 +1,4 @@
-/** How the operators' commands find an instance and their key: flags, else the environment, else a file. */
+/** Options by which the operators' commands find an instance and their key: flags, else the environment, else a file. */
 import { readFile } from 'node:fs/promises'
 import * as v from 'valibot'
 import { formatProblem, parseConfig } from '../config'
@@ -8,9 +8,9 @@
 import type { CommandContext, OptionDescription } from './types'
 
 export const CONNECTION_OPTIONS: Readonly<Record<string, OptionDescription>> = {
-  instance: { type: 'string', value: 'IP:PORT', description: "Operators' address of an instance; several with commas. Else MAGNOLIABAY_INSTANCE." },
+  instance: { type: 'string', value: 'IP:PORT', description: "Operators' address of an instance, or several separated by commas. Else MAGNOLIABAY_INSTANCE." },
   'operator-key': { type: 'string', value: 'KEY', description: 'Your operator key. Else MAGNOLIABAY_OPERATOR_KEY.' },
-  ca: { type: 'string', value: 'FILE', description: "Authority of the instances' certificates, PEM; calls then go by TLS." },
+  ca: { type: 'string', value: 'FILE', description: 'Certificate authority of the instances, PEM; calls then use TLS.' },
   client: { type: 'string', value: 'FILE', description: 'TOML with instances, operatorKey and ca. Else MAGNOLIABAY_CLIENT.' }
 }
 
@@ -19,11 +19,11 @@
 }
 
 export const clientSchema = v.strictObject({
-  /** Operators' addresses, asked in turn when one cannot be reached. @default [] */
+  /** Operators' addresses of instances; the next one is tried if one is unreachable. @default [] */
   instances: v.optional(v.array(v.string()), []),
   /** Your operator key. */
   operatorKey: v.optional(v.string()),
-  /** File with the authority of the instances' certificates, PEM. */
+  /** File with the certificate authority of the instances, PEM. */
   ca: v.optional(v.string())
 })
 
@@ -35,7 +35,7 @@
   const addresses = instances === undefined ? fromFile.instances : instances.split(',')
   const key = textOf(values['operator-key']) ?? env.MAGNOLIABAY_OPERATOR_KEY ?? fromFile.operatorKey
   const caFile = textOf(values.ca) ?? fromFile.ca
-  if (addresses.length === 0) throw new UsageError('Say which instance to ask: --instance IP:PORT, or MAGNOLIABAY_INSTANCE.')
+  if (addresses.length === 0) throw new UsageError('Name an instance: --instance IP:PORT, or MAGNOLIABAY_INSTANCE.')
   if (key === undefined) throw new UsageError('Give your operator key: --operator-key KEY, or MAGNOLIABAY_OPERATOR_KEY.')
   const ca = caFile === undefined ? undefined : await readFile(caFile, 'utf8')
   return createOperatorClient({ address: addresses, key, ca })
--- a/packages/magnoliabay/src/node/commands/dev.ts
+++ b/packages/magnoliabay/src/node/commands/dev.ts
@@ -1,4 +1,4 @@
-/** `magnoliabay dev`: the embedded default, or the stand-ins alone, up until it is stopped. */
+/** `magnoliabay dev`: runs the embedded fleet, or the stand-ins alone, until it is stopped. */
 import { createLogger } from '../logger'
 import type { Logger } from '../logger'
 import { startEmbeddedFleet } from './embedded'
@@ -6,15 +6,15 @@
 import { addressesOf, startStandIns } from './standIns'
 import { EXIT_SUCCESS, EXIT_USAGE } from './types'
 import type { Command } from './types'
-import { untilSignal } from './shutdownSignal'
+import { waitForShutdownSignal } from './shutdownSignal'
 
 const DEFAULT_INSTANCES = '3'
 const DEFAULT_PORT = '8080'
 const DEFAULT_ENGINES = '3'
-/** Stand-ins listen this far above the entries. */
+/** Difference between the first port of the stand-ins and the first entry port. */
 const STAND_IN_PORT_OFFSET = 1000
 
-interface DevPlan {
+interface DevSettings {
   instances: number
   port: number
   standInPort: number
@@ -27,7 +27,7 @@
   name: 'dev',
   summary: 'Start stand-ins and a few instances in one process, to try things out.',
   options: {
-    instances: { type: 'string', value: 'N', description: `Entry instances; 0 starts the stand-ins alone. Default ${DEFAULT_INSTANCES}.`, default: DEFAULT_INSTANCES },
+    instances: { type: 'string', value: 'N', description: `Entry instances; 0 starts only the stand-ins. Default ${DEFAULT_INSTANCES}.`, default: DEFAULT_INSTANCES },
     port: { type: 'string', value: 'P', description: `First entry port; stand-ins are ${STAND_IN_PORT_OFFSET} above. 0 takes any free ones. Default ${DEFAULT_PORT}.`, default: DEFAULT_PORT },
     engines: { type: 'string', value: 'N', description: `With --instances 0: engines. Default ${DEFAULT_ENGINES}.`, default: DEFAULT_ENGINES },
     region: { type: 'string', value: 'NAME', description: `With --instances 0: region of engines and services. Default ${EMBEDDED_REGION}.`, default: EMBEDDED_REGION }
@@ -36,12 +36,12 @@
     const instances = Number(values.instances)
     const port = Number(values.port)
     const engines = Number(values.engines)
-    const isRight = [instances, port, engines].every(value => Number.isInteger(value) && value >= 0)
-    if (!isRight) {
-      printError('--instances, --port and --engines take whole numbers from 0.')
+    const areValid = [instances, port, engines].every(value => Number.isInteger(value) && value >= 0)
+    if (!areValid) {
+      printError('--instances, --port and --engines take whole numbers of 0 or more.')
       return EXIT_USAGE
     }
-    const plan: DevPlan = {
+    const settings: DevSettings = {
       instances,
       port,
       engines,
@@ -49,21 +49,21 @@
       standInPort: port === 0 ? 0 : port + STAND_IN_PORT_OFFSET,
       logger: createLogger()
     }
-    const close = instances === 0 ? await runStandIns(plan) : await runEmbedded(plan)
-    await untilSignal()
+    const close = instances === 0 ? await runStandIns(settings) : await runEmbedded(settings)
+    await waitForShutdownSignal()
     await close()
     return EXIT_SUCCESS
   }
 }
 
-async function runStandIns ({ engines, region, standInPort, logger }: DevPlan): Promise<() => Promise<void>> {
+async function runStandIns ({ engines, region, standInPort, logger }: DevSettings): Promise<() => Promise<void>> {
   const standIns = await startStandIns({ firstPort: standInPort, engines, region })
   const { storeUrl, listUrl, faultsUrl } = addressesOf(standIns)
   logger.info('ready', { store: storeUrl, list: listUrl, faults: faultsUrl })
   return standIns.close
 }
 
-async function runEmbedded ({ instances, port, standInPort, logger }: DevPlan): Promise<() => Promise<void>> {
+async function runEmbedded ({ instances, port, standInPort, logger }: DevSettings): Promise<() => Promise<void>> {
   const embedded = await startEmbeddedFleet({ instances, port, standInPort, logger })
   logger.info('ready', {
     entries: embedded.entryUrls,
--- a/packages/magnoliabay/src/node/commands/embedded.ts
+++ b/packages/magnoliabay/src/node/commands/embedded.ts
@@ -1,5 +1,5 @@
 /**
- * The embedded default: stand-ins for the platform and the engines, and a few instances, in one process.
+ * The embedded fleet: stand-ins for the platform and the engines, and a few instances, in one process.
  */
 import { randomInt } from 'node:crypto'
 import { createServer } from 'node:net'
@@ -21,11 +21,11 @@
 export interface EmbeddedFleetOptions {
   /** @default 3 */
   instances?: number
-  /** First of the entry ports; 0 takes any free ones. @default 0 */
+  /** First entry port; 0 takes any free ports. @default 0 */
   port?: number
-  /** First of the stand-ins' ports; 0 takes any free ones. @default 0 */
+  /** First port of the stand-ins; 0 takes any free ports. @default 0 */
   standInPort?: number
-  /** Configuration that is applied, in TOML. @default the one in embeddedFleet.ts */
+  /** Configuration to apply, in TOML. @default the one in embeddedConfig.ts */
   configToml?: string
   /** Speed of the weight store. @default that of its stand-in */
   weights?: StandInFleetOptions['weights']
@@ -47,11 +47,11 @@
 }
 
 const HOST = '127.0.0.1'
-const READY_POLL_MS = 50
-/** Nobody keeps addresses of an embedded fleet: it ends as a whole. */
+const READY_POLL_INTERVAL_MS = 50
+/** Short, since an embedded fleet stops as a whole and no caller uses its addresses afterwards. */
 const EMBEDDED_LOCATE_KEEP_MS = 200
-const FREE_PORTS_FROM = 15_000
-const FREE_PORTS_TO = 32_000
+const MIN_FREE_PORT = 15_000
+const MAX_FREE_PORT = 32_000
 
 export async function startEmbeddedFleet (options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
   const { logger } = options
@@ -63,7 +63,7 @@
   const list = createInstanceListClient(listUrl)
 
   const count = options.instances ?? 3
-  const ports = await choosePorts(options.port ?? 0, count * 3)
+  const ports = await chooseFreePorts(options.port ?? 0, count * 3)
   const instances = Array.from({ length: count }, (_, index) => createInstance({
     settings: resolveSettings({
       instance: {
@@ -88,7 +88,7 @@
   const operators = createOperatorClient({ address: instances[0]!.member.operatorAddress, key: operatorKey })
   await operators.applyConfig(options.configToml ?? EMBEDDED_CONFIG_TOML)
   const created = await operators.createKey(EMBEDDED_TEAM)
-  await untilReady(clock, instances)
+  await waitUntilReady(clock, instances)
 
   return {
     standIns,
@@ -109,21 +109,21 @@
   }
 }
 
-async function untilReady (clock: Clock, instances: readonly Instance[]): Promise<void> {
+async function waitUntilReady (clock: Clock, instances: readonly Instance[]): Promise<void> {
   while (!instances.every(instance => instance.isReady())) {
-    await sleep(clock, READY_POLL_MS)
+    await sleep(clock, READY_POLL_INTERVAL_MS)
   }
 }
 
 /**
- * Free ports, each bound once to see that it is. They lie below those that the system gives to outgoing
- * connections: else a connection may take one before its instance binds it, and the start fails.
+ * Chooses free ports, and binds each once to check that it is free. They lie below the range that the system uses for
+ * outgoing connections: otherwise a connection might take one before its instance binds it, and the start would fail.
  */
-async function choosePorts (first: number, count: number): Promise<number[]> {
+async function chooseFreePorts (first: number, count: number): Promise<number[]> {
   if (first !== 0) return Array.from({ length: count }, (_, index) => first + index)
   const chosen = new Set<number>()
   while (chosen.size < count) {
-    const port = randomInt(FREE_PORTS_FROM, FREE_PORTS_TO)
+    const port = randomInt(MIN_FREE_PORT, MAX_FREE_PORT)
     if (!chosen.has(port) && await isFree(port)) chosen.add(port)
   }
   return [...chosen]
--- a/packages/magnoliabay/src/node/commands/embeddedConfig.ts
+++ b/packages/magnoliabay/src/node/commands/embeddedConfig.ts
@@ -1,4 +1,4 @@
-/** The configuration of the embedded default. */
+/** Configuration of the embedded fleet. */
 
 export const EMBEDDED_REGION = 'ie-south'
 export const EMBEDDED_FAILURE_DOMAINS: readonly string[] = ['ie-south-a', 'ie-south-b', 'ie-south-c']
--- a/packages/magnoliabay/src/node/commands/operatorCliCommands.ts
+++ b/packages/magnoliabay/src/node/commands/operatorCliCommands.ts
@@ -1,4 +1,4 @@
-/** The operators' commands on keys and instances, and what they can ask. */
+/** Operators' commands, except those of `magnoliabay config`. */
 import { writeFile } from 'node:fs/promises'
 import type { EntryKind } from '../config/documentBody'
 import { formatLogFields } from '../logger'
@@ -18,20 +18,20 @@
 
 const KEY_ACTIONS: Readonly<Record<string, (context: CommandContext, argument: string | undefined) => Promise<ExitCode>>> = {
   create: async (context, team) => {
-    if (team === undefined) throw new UsageError('Say for which team: magnoliabay key create TEAM')
+    if (team === undefined) throw new UsageError('Name a team: magnoliabay key create TEAM')
     const created = await (await connect(context)).createKey(team)
-    show(context, created, () => `key ${created.id} for ${created.team}, shown this once: ${created.key}`)
+    printResult(context, created, () => `key ${created.id} for ${created.team}, shown this once: ${created.key}`)
     return EXIT_SUCCESS
   },
   list: async (context, team) => {
     const keys = await (await connect(context)).keys(team)
-    show(context, keys, () => formatTable(['key', 'team', 'created', 'withdrawn'], keys.map(keyRow)))
+    printResult(context, keys, () => formatTable(['key', 'team', 'created', 'withdrawn'], keys.map(keyRow)))
     return EXIT_SUCCESS
   },
   withdraw: async (context, keyId) => {
-    if (keyId === undefined) throw new UsageError('Say which key: magnoliabay key withdraw ID')
+    if (keyId === undefined) throw new UsageError('Name a key: magnoliabay key withdraw ID')
     await (await connect(context)).withdrawKey(keyId)
-    show(context, { withdrawn: keyId }, () => `key ${keyId} is withdrawn`)
+    printResult(context, { withdrawn: keyId }, () => `key ${keyId} is withdrawn`)
     return EXIT_SUCCESS
   }
 }
@@ -44,7 +44,7 @@
   run: async context => {
     const [name = '', argument] = context.positionals
     const action = KEY_ACTIONS[name]
-    if (action === undefined) throw new UsageError(`Say what to do: magnoliabay key ${Object.keys(KEY_ACTIONS).join(' | ')}`)
+    if (action === undefined) throw new UsageError(`Name an action: magnoliabay key ${Object.keys(KEY_ACTIONS).join(' | ')}`)
     return await action(context, argument)
   }
 }
@@ -52,13 +52,13 @@
 function entryCommand (kind: EntryKind): Command {
   return {
     name: kind,
-    summary: `Show the ${kind}s of the configuration in force, or one of them.`,
+    summary: `Show the ${kind}s of the active configuration, or one of them.`,
     positionals: '[name]',
     options: QUERY_OPTIONS,
     run: async context => {
       const list = await (await connect(context)).entries(kind, context.positionals[0])
       const more = list.total > list.entries.length ? [`and ${list.total - list.entries.length} more`] : []
-      show(context, list, () => [formatEntries(list.entries), ...more].join('\n'))
+      printResult(context, list, () => [formatEntries(list.entries), ...more].join('\n'))
       return EXIT_SUCCESS
     }
   }
@@ -70,71 +70,71 @@
   options: QUERY_OPTIONS,
   run: async context => {
     const status = await (await connect(context)).status()
-    show(context, status, () => formatStatus(status))
+    printResult(context, status, () => formatStatus(status))
     return EXIT_SUCCESS
   }
 }
 
 const explainCommand: Command = {
   name: 'explain',
-  summary: 'Tell what was decided about a request, a model, a team or an order, and why.',
+  summary: 'Show the decisions about a request, a model, a team or an order, and their reasons.',
   positionals: `${SUBJECT_KINDS.join('|')} ID`,
   options: QUERY_OPTIONS,
   run: async context => {
     const [kind = '', id] = context.positionals
-    if (!isSubjectKind(kind) || id === undefined) throw new UsageError(`Say what to explain: magnoliabay explain ${SUBJECT_KINDS.join('|')} ID`)
+    if (!isSubjectKind(kind) || id === undefined) throw new UsageError(`Name a subject: magnoliabay explain ${SUBJECT_KINDS.join('|')} ID`)
     const explanation = await (await connect(context)).explain(kind, id)
-    show(context, explanation, () => formatExplanation(explanation))
+    printResult(context, explanation, () => formatExplanation(explanation))
     return EXIT_SUCCESS
   }
 }
 
 const auditCommand: Command = {
   name: 'audit',
-  summary: 'Show who changed what, when, from which version.',
+  summary: 'Show the changes that operators made, with their time, operator and versions.',
   options: QUERY_OPTIONS,
   run: async context => {
     const records = await (await connect(context)).audit()
     const rows = records.map(record => [new Date(record.atMs).toISOString(), record.operator, record.action, record.subject, record.detail, record.instance])
-    show(context, records, () => formatTable(['time', 'operator', 'action', 'subject', 'detail', 'at'], rows))
+    printResult(context, records, () => formatTable(['time', 'operator', 'action', 'subject', 'detail', 'at'], rows))
     return EXIT_SUCCESS
   }
 }
 
 const drainCommand: Command = {
   name: 'drain',
-  summary: 'Take an instance out of service: callers go elsewhere and what it holds goes to others. Then stop it.',
+  summary: 'Take an instance out of service: callers move to others, and it hands over what it holds. Then stop it.',
   positionals: 'INSTANCE',
   options: CONNECTION_OPTIONS,
   run: async context => {
     const [instance] = context.positionals
-    if (instance === undefined) throw new UsageError('Say which instance: magnoliabay drain INSTANCE')
+    if (instance === undefined) throw new UsageError('Name an instance: magnoliabay drain INSTANCE')
     await (await connect(context)).drain(instance)
-    context.print(`${instance} is drained; its open requests end by themselves. It may be stopped.`)
+    context.print(`${instance} is drained; its open requests run to their end. It may be stopped.`)
     return EXIT_SUCCESS
   }
 }
 
 const declareGoneCommand: Command = {
   name: 'declare-gone',
-  summary: 'Say that a process is dead, so that what it held goes to others. Only if you know: it may be paused.',
+  summary: 'Declare that a process has terminated, so that others take over what it held. Only if you are certain: it may be paused.',
   positionals: 'INSTANCE INCARNATION',
   options: CONNECTION_OPTIONS,
   run: async context => {
     const [instance, incarnation] = context.positionals
     if (instance === undefined || incarnation === undefined) {
-      throw new UsageError('Say which process: magnoliabay declare-gone INSTANCE INCARNATION. Its events in the log name the incarnation, and so does magnoliabay status.')
+      throw new UsageError('Name a process: magnoliabay declare-gone INSTANCE INCARNATION. The incarnation is in its log events and in magnoliabay status.')
     }
     await (await connect(context)).declareGone(instance, incarnation)
-    context.print(`${incarnation} counts as gone. If it lives after all, stop it now.`)
+    context.print(`${incarnation} counts as terminated. If it still runs, stop it now.`)
     return EXIT_SUCCESS
   }
 }
 
 const reportCommand: Command = {
   name: 'report',
-  summary: 'Show how fast service-level budgets burn, for each team and objective.',
-  options: { ...QUERY_OPTIONS, html: { type: 'string', value: 'FILE', description: 'Write a page with charts instead.' } },
+  summary: 'Show the burn rates of error budgets, for each team and objective.',
+  options: { ...QUERY_OPTIONS, html: { type: 'string', value: 'FILE', description: 'Write an HTML page with charts instead.' } },
   run: async context => {
     const report = await (await connect(context)).report()
     const { html } = context.values
@@ -143,7 +143,7 @@
       context.print(html)
       return EXIT_SUCCESS
     }
-    show(context, report, () => formatReportTable(report))
+    printResult(context, report, () => formatReportTable(report))
     return EXIT_SUCCESS
   }
 }
@@ -153,7 +153,7 @@
   statusCommand, explainCommand, reportCommand, drainCommand, declareGoneCommand, auditCommand
 ]
 
-function show (context: CommandContext, value: unknown, format: () => string): void {
+function printResult (context: CommandContext, value: unknown, format: () => string): void {
   context.print(context.values.json === true ? JSON.stringify(value, null, 2) : format())
 }
 
@@ -193,7 +193,7 @@
     const { instance: _own, ...others } = fields
     return `${new Date(atMs).toISOString()} ${instance} ${event} ${formatLogFields(others)}`
   })
-  const none = events.length === 0 ? [`No instance remembers anything about ${kind} ${id}; each keeps its last few thousand decisions.`] : []
-  const missing = unheard.length === 0 ? [] : [`Not asked, since they did not answer: ${unheard.join(', ')}`]
+  const none = events.length === 0 ? [`No instance has decisions about ${kind} ${id}; each keeps only its last few thousand.`] : []
+  const missing = unheard.length === 0 ? [] : [`No answer from: ${unheard.join(', ')}`]
   return [...lines, ...none, ...missing].join('\n')
 }
--- a/packages/magnoliabay/src/node/commands/platform.ts
+++ b/packages/magnoliabay/src/node/commands/platform.ts
@@ -1,4 +1,4 @@
-/** `magnoliabay platform`: one instance on the users' platform, which lays down its settings. */
+/** `magnoliabay platform`: runs one instance on the users' platform, which provides its settings file. */
 import { readFile } from 'node:fs/promises'
 import { createWakeupCounter, eventLoopIterations } from '../wakeups'
 import { createSystemClock, repeat } from '../clock'
@@ -9,13 +9,13 @@
 import { messageOf } from '../utils'
 import { EXIT_SUCCESS, EXIT_USAGE } from './types'
 import type { Command } from './types'
-import { untilSignal } from './shutdownSignal'
+import { waitForShutdownSignal } from './shutdownSignal'
 
-/** How often it is told what has woken the process so far, milliseconds. */
-const TELL_ACTIVITY_PERIOD_MS = 10_000
+/** Interval of the log event with the wakeups of the process by cause. */
+const ACTIVITY_LOG_INTERVAL_MS = 10_000
 const MICROSECONDS_PER_MS = 1000
-/** For the last lines to be read, milliseconds; a reader that has stopped must not keep the process. */
-const LAST_LINES_MS = 200
+/** Longest wait for the last log lines to be written: a reader that has stopped must not keep the process running. */
+const LOG_FLUSH_TIMEOUT_MS = 200
 
 export const platformCommand: Command = {
   name: 'platform',
@@ -24,7 +24,7 @@
   run: async ({ env, printError }) => {
     const file = env[SETTINGS_PATH_VARIABLE]
     if (file === undefined) {
-      printError(`${SETTINGS_PATH_VARIABLE} must name the settings file that the platform lays down.`)
+      printError(`${SETTINGS_PATH_VARIABLE} must name the settings file that the platform provides.`)
       return EXIT_USAGE
     }
     const text = await readFile(file, 'utf8').catch((err: unknown) => ({ problem: messageOf(err) }))
@@ -50,20 +50,20 @@
       addressesFor: instance.entryAddressesFor,
       maxResolutionTtlMs: settings.val.maxResolutionTtlMs
     })
-    process.on('SIGHUP', () => logger.info('settings-reload', { outcome: 'nothing that changes while a process runs' }))
-    const tellActivity = (): void => {
+    process.on('SIGHUP', () => logger.info('settings-reload', { outcome: 'ignored: no setting can change while the process runs' }))
+    const logActivity = (): void => {
       const { user, system } = process.cpuUsage()
       logger.info('process-activity', { turns: eventLoopIterations(), processorMs: Math.round((user + system) / MICROSECONDS_PER_MS), causes: [...activity.counts()].map(([cause, count]) => `${cause}: ${count}`) })
     }
-    repeat(clock, TELL_ACTIVITY_PERIOD_MS, new AbortController().signal, tellActivity)
+    repeat(clock, ACTIVITY_LOG_INTERVAL_MS, new AbortController().signal, logActivity)
     await discovery.start()
     await instance.start()
-    await untilSignal()
+    await waitForShutdownSignal()
     await instance.shutdown()
     discovery.close()
     logger.info('instance-stopped', { linesLeftOut: sink.dropped() })
-    await sink.flush(LAST_LINES_MS)
-    // Sockets that callers still hold must not keep the process past its grace period.
+    await sink.flush(LOG_FLUSH_TIMEOUT_MS)
+    // Exits explicitly, since sockets that callers keep open must not delay the exit past the grace period.
     process.exit(EXIT_SUCCESS)
   }
 }
--- a/packages/magnoliabay/src/node/commands/serve.ts
+++ b/packages/magnoliabay/src/node/commands/serve.ts
@@ -1,4 +1,4 @@
-/** `magnoliabay serve`: one instance as its own process. */
+/** `magnoliabay serve`: runs one instance in its own process. */
 import { readFile } from 'node:fs/promises'
 import { createSystemClock } from '../clock'
 import { formatProblem, parseSettings } from '../config'
@@ -9,18 +9,18 @@
 import { messageOf } from '../utils'
 import { EXIT_SUCCESS, EXIT_USAGE } from './types'
 import type { Command } from './types'
-import { untilSignal } from './shutdownSignal'
+import { waitForShutdownSignal } from './shutdownSignal'
 
 export const serveCommand: Command = {
   name: 'serve',
-  summary: 'Run one instance against the store, list and engines that its settings name.',
+  summary: 'Run one instance with the store, instance list and engines that its settings name.',
   options: {
     settings: { type: 'string', value: 'FILE', description: 'Settings of the instance, in TOML. Required.' }
   },
   run: async ({ values, printError }) => {
     const file = values.settings
     if (typeof file !== 'string') {
-      printError('Say which settings to use: magnoliabay serve --settings FILE')
+      printError('Name a settings file: magnoliabay serve --settings FILE')
       return EXIT_USAGE
     }
     const text = await readFile(file, 'utf8').catch((err: unknown) => ({ problem: messageOf(err) }))
@@ -43,7 +43,7 @@
     const list = createInstanceListClient(settings.val.platform.instanceList)
     const instance = createInstance({ settings: settings.val, store, list, clock, logger })
     await instance.start()
-    await untilSignal()
+    await waitForShutdownSignal()
     await instance.shutdown()
     stop.abort()
     await store.close()
--- a/packages/magnoliabay/src/node/commands/shutdownSignal.ts
+++ b/packages/magnoliabay/src/node/commands/shutdownSignal.ts
@@ -1,8 +1,8 @@
 /**
- * Resolves when the process is asked to end. It goes on listening: whoever stops processes often asks twice,
- * and by default the second signal would end the process in the middle of its shutdown, cutting requests.
+ * Resolves on SIGTERM or SIGINT. The listeners stay: process managers often send a second signal, which by default would
+ * end the process in the middle of its shutdown and cut requests.
  */
-export function untilSignal (): Promise<void> {
+export function waitForShutdownSignal (): Promise<void> {
   return new Promise(resolve => {
     process.on('SIGTERM', () => resolve())
     process.on('SIGINT', () => resolve())
--- a/packages/magnoliabay/src/node/commands/standIns.ts
+++ b/packages/magnoliabay/src/node/commands/standIns.ts
@@ -1,10 +1,10 @@
-/** The stand-ins that `magnoliabay dev` and the embedded default run against. */
+/** Starts the stand-ins that `magnoliabay dev` and the embedded fleet use. */
 import { createStandInFleet } from '@magnoliabay/standins'
 import type { StandInFleet, StandInFleetOptions } from '@magnoliabay/standins'
 import { EMBEDDED_REGION } from './embeddedConfig'
 
 export interface StandInsOptions {
-  /** First of their ports; 0 takes any free ones. @default 0 */
+  /** First port of the stand-ins; 0 takes any free ports. @default 0 */
   firstPort?: number
   /** Region of engines and services; its failure domains are `<region>-a`, `-b` and `-c`. @default 'ie-south' */
   region?: string
@@ -15,10 +15,10 @@
 }
 
 const DOMAIN_SUFFIXES: readonly string[] = ['a', 'b', 'c']
-const LIST_OFFSET = 1
-const ADMIN_OFFSET = 2
-const ENGINE_OFFSET = 10
-const SERVICE_OFFSET = 50
+const LIST_PORT_OFFSET = 1
+const ADMIN_PORT_OFFSET = 2
+const ENGINE_PORT_OFFSET = 10
+const SERVICE_PORT_OFFSET = 50
 
 export function startStandIns (options: StandInsOptions = {}): Promise<StandInFleet> {
   const { region = EMBEDDED_REGION, firstPort = 0 } = options
@@ -35,7 +35,7 @@
   return DOMAIN_SUFFIXES.map(suffix => `${region}-${suffix}`)
 }
 
-/** Where instances find them, and where faults are switched. */
+/** Returns the addresses of store and instance list, and the one at which faults are injected. */
 export function addressesOf (standIns: StandInFleet): { storeUrl: string, listUrl: string, faultsUrl: string } {
   return {
     storeUrl: `http://${standIns.kv.address}`,
@@ -47,9 +47,9 @@
 function portsFrom (first: number): StandInFleetOptions['ports'] {
   return {
     kv: first,
-    list: first + LIST_OFFSET,
-    admin: first + ADMIN_OFFSET,
-    firstEngine: first + ENGINE_OFFSET,
-    firstService: first + SERVICE_OFFSET
+    list: first + LIST_PORT_OFFSET,
+    admin: first + ADMIN_PORT_OFFSET,
+    firstEngine: first + ENGINE_PORT_OFFSET,
+    firstService: first + SERVICE_PORT_OFFSET
   }
 }
--- a/packages/magnoliabay/src/node/commands/types.ts
+++ b/packages/magnoliabay/src/node/commands/types.ts
@@ -1,4 +1,4 @@
-/** What every command of the command line has. */
+/** Types shared by all commands of the command line. */
 import type { Logger } from '../logger'
 
 /** Exit codes of the program. */
@@ -10,7 +10,7 @@
 
 export interface OptionDescription {
   type: 'string' | 'boolean'
-  /** Shown in the usage, such as `FILE`. */
+  /** Placeholder of the value in the usage text, such as `FILE`. */
   value?: string
   description: string
   default?: string | boolean
@@ -29,16 +29,16 @@
 export interface Command {
   name: string
   summary: string
-  /** Positional arguments, as shown in the usage. */
+  /** Positional arguments as shown in the usage text. */
   positionals?: string
   options: Readonly<Record<string, OptionDescription>>
   run (context: CommandContext): Promise<ExitCode>
 }
 
-/** What the user left out or got wrong; its message says how to give it. */
+/** Thrown for missing or invalid arguments; the message says what is expected. */
 export class UsageError extends Error {
   override readonly name = 'UsageError'
 }
 
-/** By name: commands are loaded when used, and a loader may give them a class of their own. */
+/** Compares by name: commands are imported on use, and a module loader may give them another instance of the class. */
 export const isUsageError = (err: unknown): err is UsageError => err instanceof Error && err.name === 'UsageError'
