--- a/packages/magnoliabay/src/node/__tests__/instanceFixture.ts
+++ b/packages/magnoliabay/src/node/__tests__/instanceFixture.ts
@@ -1,4 +1,4 @@
-/** One instance over the stand-ins' state, in virtual time, with real sockets: for tests of its edges. */
+/** Test fixture: one instance on the state of the stand-ins, with virtual time and real sockets. */
 import { createDirectInstanceList, createDirectStore, createInstanceListState, createKvState } from '@magnoliabay/standins'
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
@@ -18,11 +18,11 @@
   clock: VirtualClock
   instance: Instance
   operators: OperatorClient
-  /** A key of a team that may call everything. */
+  /** Caller key of a team that may call all models and services. */
   key: string
-  /** Lines of its log so far. */
+  /** Lines logged so far. */
   logLines: readonly string[]
-  /** Moves time on in small steps until `done`; sockets get their turn after each step. */
+  /** Advances time in small steps until `done` returns true; socket events are handled after each step. */
   passUntil (done: () => boolean): Promise<void>
   close (): Promise<void>
 }
@@ -63,8 +63,8 @@
       await new Promise(resolve => setImmediate(resolve))
     }
   }
-  /** Runs `task` while time passes. */
-  const during = async <T>(task: Promise<T>): Promise<T> => {
+  /** Advances time until `task` settles. */
+  const advanceUntilSettled = async <T>(task: Promise<T>): Promise<T> => {
     let isOver = false
     const over = (): void => { isOver = true }
     task.then(over, over)
@@ -72,10 +72,10 @@
     return await task
   }
 
-  await during(instance.start())
+  await advanceUntilSettled(instance.start())
   const operators = createOperatorClient({ address: operator, key: OPERATOR_KEY })
-  await during(operators.applyConfig(EMBEDDED_CONFIG_TOML))
-  const { key } = await during(operators.createKey(TEAM))
+  await advanceUntilSettled(operators.applyConfig(EMBEDDED_CONFIG_TOML))
+  const { key } = await advanceUntilSettled(operators.createKey(TEAM))
   await passUntil(() => instance.isReady())
   return {
     clock,
@@ -85,7 +85,7 @@
     logLines,
     passUntil,
     close: async () => {
-      await during(instance.shutdown())
+      await advanceUntilSettled(instance.shutdown())
       kv.close()
       list.close()
     }
--- a/packages/magnoliabay/src/node/cli.ts
+++ b/packages/magnoliabay/src/node/cli.ts
@@ -1,4 +1,4 @@
-/** The command line: finds the command, checks its options, runs it. */
+/** The command-line interface: finds the command, parses its options and runs it. */
 import { parseArgs } from 'node:util'
 import { EXIT_SUCCESS, EXIT_FAILED, EXIT_USAGE, isUsageError } from './commands/types'
 import type { Command, ExitCode, OptionDescription } from './commands/types'
@@ -6,7 +6,7 @@
 import { createLogger } from './logger'
 import { messageOf } from './utils'
 
-/** Where the command line prints, and what it reads besides its arguments. */
+/** Output functions and environment of a command. */
 export interface CliContext {
   print: (text: string) => void
   printError: (text: string) => void
@@ -27,8 +27,8 @@
 }
 
 /**
- * Commands by name, in the order of the overview. Each is loaded when it is used: an instance that starts, perhaps with
- * hundreds of others on small machines, must not load what operators' commands need.
+ * Commands by name, in the order of the overview. Each is imported on use: instances may start by the hundred on small
+ * machines, and must not load the modules of the operators' commands.
  */
 export const productCommands: Readonly<Record<string, CommandLoader>> = {
   serve: async () => (await import('./commands/serve')).serveCommand,
@@ -53,7 +53,7 @@
   }
   const load = Object.hasOwn(commands, name) ? commands[name] : undefined
   if (load === undefined) {
-    printError(`There is no command ${name}. magnoliabay --help lists those there are.`)
+    printError(`There is no command ${name}. magnoliabay --help lists the commands.`)
     return EXIT_USAGE
   }
   return await runCommand(await load(), rest, context)
@@ -108,7 +108,7 @@
 function formatOverview (commands: readonly Command[]): string {
   const width = Math.max(...commands.map(command => command.name.length))
   const lines = commands.map(command => `  ${command.name.padEnd(width)}  ${command.summary}`)
-  return ['magnoliabay serves models that are rarely used.', '', 'Usage: magnoliabay <command> [options]', '', ...lines, '', 'magnoliabay <command> --help tells more; --version tells the version.'].join('\n')
+  return ['magnoliabay serves models that are rarely used.', '', 'Usage: magnoliabay <command> [options]', '', ...lines, '', 'magnoliabay <command> --help shows the options of a command; --version prints the version.'].join('\n')
 }
 
 function formatUsage (command: Command): string {
--- a/packages/magnoliabay/src/node/constants.ts
+++ b/packages/magnoliabay/src/node/constants.ts
@@ -2,14 +2,14 @@
 
 export const VERSION = '0.1.0'
 
-/** Prefix of every key of ours in the platform's key-value service. */
+/** Prefix of the keys in the platform's key-value service, except those under {@link LEDGERS_PREFIX}. */
 export const STORE_KEY_PREFIX = '/magnoliabay'
 
 /**
- * Prefix of what changes every second and concerns few. Apart from the root above, which every instance watches: each
- * change there wakes them all.
+ * Prefix of keys that change every second and concern few instances. It is outside {@link STORE_KEY_PREFIX}, which every
+ * instance watches, since each change there wakes all instances.
  */
 export const LEDGERS_PREFIX = '/ledgers'
 
-/** Largest value that the platform's key-value service takes, in bytes. */
+/** Largest value that the platform's key-value service accepts, in bytes. */
 export const MAX_STORE_VALUE_BYTES = 1_000_000
--- a/packages/magnoliabay/src/node/decayingRate.ts
+++ b/packages/magnoliabay/src/node/decayingRate.ts
@@ -1,27 +1,27 @@
-/** A rate a second, averaged over the last while: older amounts fade away exponentially. */
+/** An exponentially weighted rate per second. */
 
 export interface DecayingRate {
   add (amount: number, nowMs: number): void
-  /** Amount a second. */
+  /** Returns the rate per second. */
   read (nowMs: number): number
-  /** Forgets what was noted before. */
+  /** Discards all amounts added so far. */
   reset (nowMs: number): void
 }
 
 const MS_PER_SECOND = 1000
 
-export function createDecayingRate (averagedOverMs: number): DecayingRate {
+export function createDecayingRate (timeConstantMs: number): DecayingRate {
   let average = 0
-  let atMs = 0
+  let updatedMs = 0
 
   const decay = (now: number): void => {
-    average *= Math.exp(-Math.max(0, now - atMs) / averagedOverMs)
-    atMs = now
+    average *= Math.exp(-Math.max(0, now - updatedMs) / timeConstantMs)
+    updatedMs = now
   }
   return {
     add: (amount, now) => {
       decay(now)
-      average += amount / averagedOverMs * MS_PER_SECOND
+      average += amount / timeConstantMs * MS_PER_SECOND
     },
     read: now => {
       decay(now)
@@ -29,7 +29,7 @@
     },
     reset: now => {
       average = 0
-      atMs = now
+      updatedMs = now
     }
   }
 }
--- a/packages/magnoliabay/src/node/failures.ts
+++ b/packages/magnoliabay/src/node/failures.ts
@@ -1,5 +1,5 @@
 /**
- * Every way in which a request is refused or fails, with what the caller is told.
+ * The codes with which requests are refused or fail, and the HTTP responses sent for them.
  */
 
 export type FailureCode =
@@ -30,13 +30,13 @@
   | 'answer_cut'
   | 'internal'
 
-/** A failure as the caller sees it. */
+/** A failure as sent to the caller. */
 export interface Failure {
   code: FailureCode
   message: string
   /** True only when nothing of the request ran on any backend server. */
   notRun: boolean
-  /** When a repeat makes sense, in seconds. */
+  /** Seconds after which the caller may retry. */
   retryAfterSeconds?: number
 }
 
@@ -73,17 +73,17 @@
   return HTTP_STATUS[failure.code]
 }
 
-/** A refusal before anything was sent to a backend server. */
+/** Creates a failure for a request of which nothing was sent to a backend server. */
 export function createRefusal (code: FailureCode, message: string, retryAfterSeconds?: number): Failure {
   return { code, message, notRun: true, retryAfterSeconds }
 }
 
-/** A failure after the request may have reached a backend server. */
+/** Creates a failure for a request that may have reached a backend server. */
 export function createIndeterminateFailure (code: FailureCode, message: string): Failure {
   return { code, message, notRun: false }
 }
 
-/** The typed JSON body of a failure. OpenAI-compatible clients find `error.message` and `error.code`. */
+/** Returns the JSON body of a failure. OpenAI-compatible clients read `error.message` and `error.code`. */
 export function failureBody (failure: Failure, requestId: string): object {
   return {
     error: {
--- a/packages/magnoliabay/src/node/index.ts
+++ b/packages/magnoliabay/src/node/index.ts
@@ -1,4 +1,4 @@
-/** What the package offers to programs that embed an instance. */
+/** Public API for programs that embed an instance. */
 export { createSystemClock } from './clock'
 export type { Clock } from './clock'
 export { parseSettings, resolveSettings } from './config'
--- a/packages/magnoliabay/src/node/logSink.ts
+++ b/packages/magnoliabay/src/node/logSink.ts
@@ -1,9 +1,9 @@
 /**
- * Where log lines go without ever holding up a request: bounded in rate and in what waits to be written.
+ * Writes log lines without blocking requests, limited in rate and in buffered characters.
  *
- * Node writes to a pipe synchronously: a reader that stops would stop the whole process in the middle of a request.
- * Lines are therefore written through the thread pool, one write at a time. What comes while too much waits is left
- * out and counted, and the count is written as soon as there is room.
+ * Node writes to a pipe synchronously: a reader that stops would block the whole process in the middle of a request.
+ * Lines are therefore written through the thread pool, one write at a time. Lines that arrive while the buffer is full
+ * are dropped and counted, and the count is written as soon as there is room.
  */
 import { write as writeFile } from 'node:fs'
 import { delayToNextPeriod } from './clock'
@@ -12,111 +12,112 @@
 
 export interface LogSinkOptions {
   clock: Clock
-  /** Writes and calls back when done. @default to standard output */
+  /** Writes `text` and calls `done` when finished. @default to standard output */
   write?: (text: string, done: () => void) => void
-  /** Lines a second on average; refusals, failures and warnings may use three times as many. @default 200 */
+  /** Lines per second on average; warnings and errors may use three times as many. @default 200 */
   linesPerSecond?: number
-  /** Characters that may wait to be written. @default 262144 */
-  maxWaiting?: number
+  /** Most characters buffered for writing. @default 262144 */
+  maxBufferedCharacters?: number
 }
 
 export interface LogSink {
   write (line: string, level: LogLevel): void
-  /** Lines left out so far. */
+  /** Returns the number of lines dropped so far. */
   dropped (): number
-  /** Resolves when all that waits is written, or after `limitMs`. */
-  flush (limitMs: number): Promise<void>
+  /** Resolves when the buffer is written, or after `timeoutMs`. */
+  flush (timeoutMs: number): Promise<void>
 }
 
-/** A line for each request and decision on a day of many callers is some 30 a second for an instance. */
-const LINES_PER_SECOND = 200
-const MAX_WAITING = 262_144
-/** Lines that tell of trouble may use this many times the rate: they are what somebody will look for. */
-const TROUBLE_FACTOR = 3
+/** One line for each request and decision is some 30 lines per second for an instance under heavy load. */
+const DEFAULT_LINES_PER_SECOND = 200
+const DEFAULT_MAX_BUFFERED_CHARACTERS = 262_144
+/** Multiple of the rate for warnings and errors, which matter most when a fault is investigated. */
+const WARNING_RATE_FACTOR = 3
 const BURST_SECONDS = 2
 const STANDARD_OUTPUT = 1
 const MS_PER_SECOND = 1000
 const FLUSH_POLL_MS = 10
-/** Lines wait for this long at most, milliseconds, or until there are so many characters: each write wakes the process twice. */
-const GATHER_MS = 250
-const GATHER_CHARACTERS = 16_384
+/** Longest time that lines are buffered before a write, milliseconds: each write wakes the process twice. */
+const WRITE_INTERVAL_MS = 250
+/** Buffered characters at which a write starts at once. */
+const WRITE_THRESHOLD_CHARACTERS = 16_384
 
 export function createLogSink (options: LogSinkOptions): LogSink {
-  const { clock, linesPerSecond = LINES_PER_SECOND, maxWaiting = MAX_WAITING } = options
+  const { clock, linesPerSecond = DEFAULT_LINES_PER_SECOND, maxBufferedCharacters = DEFAULT_MAX_BUFFERED_CHARACTERS } = options
   const write = options.write ?? writeStandardOutput
-  const most = linesPerSecond * BURST_SECONDS * TROUBLE_FACTOR
-  /** Below this much of the budget only lines of trouble are written. */
-  const reserve = most - linesPerSecond * BURST_SECONDS
-  let left = most
+  const maxBudget = linesPerSecond * BURST_SECONDS * WARNING_RATE_FACTOR
+  /** Below this budget only warnings and errors are written. */
+  const warningReserve = maxBudget - linesPerSecond * BURST_SECONDS
+  let budget = maxBudget
   let refilledMs = clock.monotonic()
-  let waiting = ''
+  let buffer = ''
   let isWriting = false
-  let isDue = false
+  let isScheduled = false
   let dropped = 0
-  let untold = 0
+  let unreportedDrops = 0
 
   const refill = (): void => {
     const now = clock.monotonic()
-    left = Math.min(most, left + (now - refilledMs) / MS_PER_SECOND * linesPerSecond * TROUBLE_FACTOR)
+    budget = Math.min(maxBudget, budget + (now - refilledMs) / MS_PER_SECOND * linesPerSecond * WARNING_RATE_FACTOR)
     refilledMs = now
   }
-  const admits = (level: LogLevel, line: string): boolean => {
+  const hasRoomFor = (level: LogLevel, line: string): boolean => {
     refill()
-    const isTrouble = level === 'warn' || level === 'error'
-    return left >= (isTrouble ? 1 : reserve + 1) && waiting.length + line.length <= maxWaiting
+    const isWarning = level === 'warn' || level === 'error'
+    return budget >= (isWarning ? 1 : warningReserve + 1) && buffer.length + line.length <= maxBufferedCharacters
   }
-  const pump = (): void => {
-    if (isWriting || waiting === '') return
-    const text = waiting
-    waiting = ''
+  const writeBuffer = (): void => {
+    if (isWriting || buffer === '') return
+    const text = buffer
+    buffer = ''
     isWriting = true
     write(text, () => {
       isWriting = false
-      const isAnyLeftOut = untold > 0
-      tellDropped()
-      if (isAnyLeftOut || waiting.length >= GATHER_CHARACTERS) pump()
-      else if (waiting !== '') pumpSoon()
+      const hasDropNotice = unreportedDrops > 0
+      appendDropNotice()
+      if (hasDropNotice || buffer.length >= WRITE_THRESHOLD_CHARACTERS) writeBuffer()
+      else if (buffer !== '') scheduleWrite()
     })
   }
-  const pumpSoon = (): void => {
-    if (isDue) return
-    isDue = true
-    clock.schedule(delayToNextPeriod(clock, GATHER_MS), () => {
-      isDue = false
-      pump()
+  const scheduleWrite = (): void => {
+    if (isScheduled) return
+    isScheduled = true
+    clock.schedule(delayToNextPeriod(clock, WRITE_INTERVAL_MS), () => {
+      isScheduled = false
+      writeBuffer()
     })
   }
-  const tellDropped = (): void => {
-    if (untold === 0) return
-    waiting += `time=${new Date(clock.now()).toISOString()} level=warn event=log-lines-left-out count=${untold} total=${dropped}\n`
-    untold = 0
+  const appendDropNotice = (): void => {
+    if (unreportedDrops === 0) return
+    buffer += `time=${new Date(clock.now()).toISOString()} level=warn event=log-lines-left-out count=${unreportedDrops} total=${dropped}\n`
+    unreportedDrops = 0
   }
-  const isIdle = (): boolean => !isWriting && waiting === ''
+  const isIdle = (): boolean => !isWriting && buffer === ''
   return {
     write: (line, level) => {
-      if (!admits(level, line)) {
+      if (!hasRoomFor(level, line)) {
         dropped += 1
-        untold += 1
+        unreportedDrops += 1
         return
       }
-      left -= 1
-      waiting += `${line}\n`
-      if (waiting.length >= GATHER_CHARACTERS) pump()
-      else pumpSoon()
+      budget -= 1
+      buffer += `${line}\n`
+      if (buffer.length >= WRITE_THRESHOLD_CHARACTERS) writeBuffer()
+      else scheduleWrite()
     },
     dropped: () => dropped,
-    flush: async limitMs => {
-      const endMs = clock.monotonic() + limitMs
-      pump()
+    flush: async timeoutMs => {
+      const endMs = clock.monotonic() + timeoutMs
+      writeBuffer()
       while (!isIdle() && clock.monotonic() < endMs) {
         await new Promise<void>(resolve => { clock.schedule(FLUSH_POLL_MS, resolve) })
-        pump()
+        writeBuffer()
       }
     }
   }
 }
 
-/** Writes the whole text, through the thread pool. A reader that has gone away ends nothing but the log. */
+/** Writes the whole text through the thread pool. A write error, as when the reader has closed the pipe, loses only log lines. */
 function writeStandardOutput (text: string, done: () => void): void {
   const bytes = Buffer.from(text)
   const writeFrom = (offset: number): void => writeFile(STANDARD_OUTPUT, bytes, offset, (err, written) => {
--- a/packages/magnoliabay/src/node/logTrace.ts
+++ b/packages/magnoliabay/src/node/logTrace.ts
@@ -1,11 +1,11 @@
 /**
- * From the id of a request to its cause, over the log lines of any number of processes: its own lines, and those that
- * tell what the deciding process believed at the time.
+ * Traces a request through the log lines of any number of processes: finds the lines that name it, and those that show
+ * the state known to the deciding process at that time.
  */
 import { REFUSAL_REASON_DESCRIPTIONS } from './serving/refusalReasons'
 
 export interface LogEntry {
-  /** ISO 8601, as written by the process's time of day. */
+  /** ISO 8601, by the wall clock of the process that wrote the line. */
   time: string
   event: string
   instance: string | undefined
@@ -18,18 +18,18 @@
   requestEntries: readonly LogEntry[]
   /** Lines about its model, servers, team and instance shortly before its end. */
   relatedEntries: readonly LogEntry[]
-  /** What the reason of its end means; undefined where it was answered or no line tells. */
+  /** Description of the refusal reason; undefined for an answered request or if no line has a reason. */
   cause: string | undefined
-  /** What the logs do not tell, and why. */
+  /** What is missing from the logs, and why. */
   gaps: readonly string[]
 }
 
-/** Believed things that are older than this at the request's start rarely decide it, milliseconds. */
-const LOOK_BACK_MS = 10_000
-const FIELD = /([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S+)/g
+/** Age at the request's start above which an event is left out, milliseconds: older events rarely affect a request. */
+const MAX_EVENT_AGE_MS = 10_000
+const FIELD_PATTERN = /([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S+)/g
 
-/** Events that tell what an instance or the fleet believed, by what ties them to a request. */
-const TIES: Readonly<Record<string, readonly string[]>> = {
+/** Events on the state of an instance or the fleet, with the fields by which they are related to a request. */
+const RELATED_EVENT_FIELDS: Readonly<Record<string, readonly string[]>> = {
   'config-in-force': ['instance'],
   'store-lost': ['instance'],
   'store-reached': ['instance'],
@@ -47,12 +47,12 @@
   'server-lapsed': ['server'],
   'server-leaving': ['server']
 }
-/** Events about who gives orders concern every request that waits for a model. */
-const ORDERER_EVENTS = new Set(['orderer-won', 'orderer-begins', 'orderer-lost', 'orderer-resigned'])
+/** Events on the leader; they are related to every request that waits for a model. */
+const LEADER_EVENTS = new Set(['orderer-won', 'orderer-begins', 'orderer-lost', 'orderer-resigned'])
 
-/** Reads one line; undefined for one that is none of ours. */
+/** Parses one line; returns undefined for a line in another format. */
 export function parseLogLine (line: string): LogEntry | undefined {
-  const fields = new Map([...line.matchAll(FIELD)].map(match => [match[1]!, unquote(match[2]!)]))
+  const fields = new Map([...line.matchAll(FIELD_PATTERN)].map(match => [match[1]!, unquote(match[2]!)]))
   const [time, event] = [fields.get('time'), fields.get('event')]
   if (time === undefined || event === undefined) return undefined
   return { time, event, instance: fields.get('instance'), fields, line }
@@ -67,7 +67,7 @@
   }
 }
 
-/** Traces the request `id`. */
+/** Finds the lines of the request `id`, the events related to it, and its cause. */
 export function traceRequest (lines: readonly string[], id: string): Trace {
   const entries = lines.flatMap(line => parseLogLine(line) ?? []).sort((left, right) => left.time < right.time ? -1 : 1)
   const own = entries.filter(entry => entry.fields.get('request') === id)
@@ -75,31 +75,31 @@
   const reason = last?.fields.get('reason')
   return {
     requestEntries: own,
-    relatedEntries: own.length === 0 ? [] : entries.filter(entry => isAround(entry, own)),
+    relatedEntries: own.length === 0 ? [] : entries.filter(entry => isRelated(entry, own)),
     cause: reason === undefined ? undefined : (REFUSAL_REASON_DESCRIPTIONS as Readonly<Record<string, string>>)[reason],
-    gaps: missingOf(entries, own, id)
+    gaps: findGaps(entries, own, id)
   }
 }
 
-function isAround (entry: LogEntry, own: readonly LogEntry[]): boolean {
+function isRelated (entry: LogEntry, own: readonly LogEntry[]): boolean {
   const last = own.at(-1)!
   const tookMs = Number(last.fields.get('tookMs') ?? 0)
   const ageMs = Date.parse(last.time) - Date.parse(entry.time)
-  if (ageMs < 0 || ageMs > tookMs + LOOK_BACK_MS) return false
-  if (ORDERER_EVENTS.has(entry.event)) return last.fields.has('model')
+  if (ageMs < 0 || ageMs > tookMs + MAX_EVENT_AGE_MS) return false
+  if (LEADER_EVENTS.has(entry.event)) return last.fields.has('model')
   const values = (field: string): Array<string | undefined> => own.map(each => each.fields.get(field))
-  return (TIES[entry.event] ?? []).some(field => values(field).includes(entry.fields.get(field) ?? '\0'))
+  return (RELATED_EVENT_FIELDS[entry.event] ?? []).some(field => values(field).includes(entry.fields.get(field) ?? '\0'))
 }
 
-function missingOf (entries: readonly LogEntry[], own: readonly LogEntry[], id: string): string[] {
-  if (own.length === 0) return [`No line names request ${id}: it reached no instance whose log is here, or its lines were left out.`]
+function findGaps (entries: readonly LogEntry[], own: readonly LogEntry[], id: string): string[] {
+  if (own.length === 0) return [`No line names request ${id}: it reached no instance whose log was given, or its lines were left out.`]
   const ended = own.some(entry => entry.event === 'request-ended' || entry.event === 'request-refused')
   const instances = new Set(own.map(entry => entry.instance))
-  const died = entries.filter(entry => entry.event === 'instance-started' && instances.has(entry.instance) && entry.time > own.at(-1)!.time)
+  const restarts = entries.filter(entry => entry.event === 'instance-started' && instances.has(entry.instance) && entry.time > own.at(-1)!.time)
   const leftOut = entries.some(entry => entry.event === 'log-lines-left-out')
   return [
-    ...(ended ? [] : ['No line tells how the request ended.']),
-    ...(!ended && died.length > 0 ? [`Instance ${died[0]!.instance} started anew at ${died[0]!.time}: the process that had the request died.`] : []),
-    ...(leftOut ? ['Some lines were left out to keep the log within its bounds.'] : [])
+    ...(ended ? [] : ['No line shows how the request ended.']),
+    ...(!ended && restarts.length > 0 ? [`Instance ${restarts[0]!.instance} restarted at ${restarts[0]!.time}: the process that handled the request died.`] : []),
+    ...(leftOut ? ['Some lines were left out to keep the log within its limits.'] : [])
   ]
 }
--- a/packages/magnoliabay/src/node/logger.ts
+++ b/packages/magnoliabay/src/node/logger.ts
@@ -12,14 +12,14 @@
   info (event: string, fields?: LogFields): void
   warn (event: string, fields?: LogFields): void
   error (event: string, fields?: LogFields): void
-  /** A logger that adds `fields` to every event. */
+  /** Returns a logger that adds `fields` to every event. */
   with (fields: LogFields): Logger
 }
 
 export interface LoggerOptions {
-  /** Least level written. @default 'info' */
+  /** Lowest level written. @default 'info' */
   level?: LogLevel
-  /** Where lines go. @default standard output */
+  /** Writes one line. @default to standard output */
   write?: (line: string, level: LogLevel) => void
   /** Fields added to every event. @default {} */
   fields?: LogFields
@@ -34,7 +34,7 @@
 const TSLOG_LEVELS: Record<LogLevel, number> = { debug: 2, info: 3, warn: 4, error: 5 }
 const BARE_VALUE = /^[^\s"=]+$/
 
-/** Formats one value: bare where unambiguous, else a JSON string. */
+/** Formats one value: without quotes if unambiguous, otherwise as a JSON string. */
 export function formatLogValue (value: Exclude<LogValue, undefined>): string {
   const text = Array.isArray(value) ? value.join(',') : String(value)
   return BARE_VALUE.test(text) ? text : JSON.stringify(text)
@@ -51,7 +51,7 @@
 /** Creates a logger whose lines read `time=… level=… event=… key=value …`. */
 export function createLogger (options: LoggerOptions = {}): Logger {
   const write = options.write ?? ((line: string) => { process.stdout.write(`${line}\n`) })
-  // The position in the code is in no line; finding it by a stack trace would take far longer than the line itself.
+  // No line contains its position in the code: finding it needs a stack trace, which takes far longer than writing the line.
   const backend = new TsLogger<LogRecord>({ type: 'hidden', hideLogPositionForProduction: true, minLevel: TSLOG_LEVELS[options.level ?? 'info'] })
   backend.attachTransport(entry => {
     const record = entry as unknown as LogRecord & { _meta: { date: Date } }
@@ -74,7 +74,7 @@
   }
 }
 
-/** A logger that writes nothing, for tests. */
+/** Creates a logger that writes nothing, for tests. */
 export function createSilentLogger (): Logger {
   return createLogger({ level: 'error', write: () => {} })
 }
--- a/packages/magnoliabay/src/node/probe.ts
+++ b/packages/magnoliabay/src/node/probe.ts
@@ -1,8 +1,11 @@
-/** Whether anybody listens at an address. */
+/** Checks whether a process listens at an address. */
 import { connect } from 'node:net'
 import type { Clock } from './clock'
 
-/** `refused`: the machine is up and nobody listens. `silent`: no word in time, or out of reach; it proves nothing. */
+/**
+ * `refused`: the machine runs, but no process listens at the address. `silent`: no response in time or address
+ * unreachable; this proves nothing about the process.
+ */
 export type ProbeResult = 'accepted' | 'refused' | 'silent'
 
 export interface ProbeTarget {
@@ -10,8 +13,8 @@
   port: number
 }
 
-/** Opens a connection and closes it again; never rejects. */
-export function probeAddress (clock: Clock, { host, port }: ProbeTarget, patienceMs: number): Promise<ProbeResult> {
+/** Opens a connection and closes it at once; never rejects. */
+export function probeAddress (clock: Clock, { host, port }: ProbeTarget, timeoutMs: number): Promise<ProbeResult> {
   return new Promise(resolve => {
     const socket = connect({ host, port })
     const settle = (result: ProbeResult): void => {
@@ -19,7 +22,7 @@
       socket.destroy()
       resolve(result)
     }
-    const cancelTimeout = clock.schedule(patienceMs, () => settle('silent'))
+    const cancelTimeout = clock.schedule(timeoutMs, () => settle('silent'))
     socket.on('connect', () => settle('accepted'))
     socket.on('error', (err: NodeJS.ErrnoException) => settle(err.code === 'ECONNREFUSED' ? 'refused' : 'silent'))
   })
--- a/packages/magnoliabay/src/node/result.ts
+++ b/packages/magnoliabay/src/node/result.ts
@@ -1,8 +1,8 @@
 /**
- * `Result` of `ts-results`, for every call that can fail in a way the caller must look at.
+ * `Result` of `ts-results`, for every call that can fail in a way that the caller must handle.
  *
  * The package ships UMD to Node's ESM loader, which sees only a default export, and ESM with named
- * exports to the bundler. Both are met here, once, so that nobody else has to know.
+ * exports to the bundler. This module supports both.
  */
 import * as namespace from 'ts-results'
 import type { Result as LibraryResult } from 'ts-results'
--- a/packages/magnoliabay/src/node/shutdown.ts
+++ b/packages/magnoliabay/src/node/shutdown.ts
@@ -1,7 +1,8 @@
 /**
- * The end of an instance, in order, so that no request is cut:
- * not ready and out of locate; cells and fractions to others; callers that hold an old address served until
- * what they were told has run out; no more connections; every answer to its end; gone.
+ * Shuts an instance down in an order that cuts no request:
+ * 1. it is no longer ready and leaves `locate`; 2. it hands its cells and shares over; 3. it serves callers that still
+ * have its address until `locateKeepMs` has passed; 4. it accepts no more connections and finishes all open responses;
+ * 5. it stops.
  */
 import { createMachine, interpret, state, transition } from 'robot3'
 import type { Clock } from './clock'
@@ -11,11 +12,11 @@
 export type ShutdownPhase = 'serving' | 'leaving' | 'draining' | 'finishing' | 'stopped'
 
 export interface ShutdownSteps {
-  /** Tells everybody that no new callers should come here. */
+  /** Announces that this instance accepts no new callers. */
   leave (): Promise<void>
-  /** Gives what only this instance holds to others. */
+  /** Hands over to other instances what only this instance holds. */
   handOver (): Promise<void>
-  /** Ends when every open request has; those left after `drainMs` are ended with a typed failure. */
+  /** Resolves when every open request has ended; those left after `drainMs` are ended with a typed failure. */
   drain (drainMs: number): Promise<void>
   finish (): Promise<void>
 }
@@ -25,13 +26,13 @@
   logger: Logger
   /** How long callers may keep an address, milliseconds. */
   locateKeepMs: number
-  /** How long open requests may take after that, milliseconds. */
+  /** How long open requests may take after `locateKeepMs`, milliseconds. */
   drainMs: number
   steps: ShutdownSteps
 }
 
-/** Bounds each step that needs others: the store or peers being away must not keep the process, milliseconds. */
-const STEP_LIMIT_MS = 5000
+/** Timeout of each step that calls the store or peers, milliseconds: if they are unavailable, the process must still end. */
+const STEP_TIMEOUT_MS = 5000
 
 const machine = createMachine('serving', {
   serving: state(transition('leave', 'leaving')),
@@ -41,30 +42,33 @@
   stopped: state()
 })
 
-/** Called again, as by a second signal, it waits for the shutdown under way; it never starts over or hurries. */
+/**
+ * Returns the shutdown function. A repeated call, as after a second signal, waits for the running shutdown without
+ * restarting or shortening it.
+ */
 export function createShutdown (options: ShutdownOptions): () => Promise<void> {
   const { clock, logger, steps } = options
-  const life = interpret(machine, () => {})
+  const stateMachine = interpret(machine, () => {})
   let running: Promise<void> | undefined
 
   const enter = (event: string): void => {
-    life.send(event as never)
-    logger.info('instance-shutdown', { phase: life.machine.current as ShutdownPhase })
+    stateMachine.send(event as never)
+    logger.info('instance-shutdown', { phase: stateMachine.machine.current as ShutdownPhase })
   }
-  const bounded = async (step: string, task: Promise<void>): Promise<void> => {
+  const runWithTimeout = async (step: string, task: Promise<void>): Promise<void> => {
     const ended = task.catch(() => logger.warn('shutdown-step-failed', { step }))
-    if (await withTimeout(clock, STEP_LIMIT_MS, ended) === TIMED_OUT) logger.warn('shutdown-step-late', { step })
+    if (await withTimeout(clock, STEP_TIMEOUT_MS, ended) === TIMED_OUT) logger.warn('shutdown-step-late', { step })
   }
   const shutDown = async (): Promise<void> => {
-    const keptUntilMs = clock.monotonic() + options.locateKeepMs
+    const addressesValidUntilMs = clock.monotonic() + options.locateKeepMs
     enter('leave')
-    await bounded('leave', steps.leave())
-    await bounded('hand-over', steps.handOver())
-    await sleep(clock, Math.max(0, keptUntilMs - clock.monotonic()))
+    await runWithTimeout('leave', steps.leave())
+    await runWithTimeout('hand-over', steps.handOver())
+    await sleep(clock, Math.max(0, addressesValidUntilMs - clock.monotonic()))
     enter('drain')
     await steps.drain(options.drainMs)
     enter('finish')
-    await bounded('finish', steps.finish())
+    await runWithTimeout('finish', steps.finish())
     enter('stop')
   }
   return () => {
--- a/packages/magnoliabay/src/node/utils.ts
+++ b/packages/magnoliabay/src/node/utils.ts
@@ -1,22 +1,22 @@
-/** Small helpers without a subsystem of their own. */
+/** Helpers shared by several subsystems. */
 import { createHash, randomBytes } from 'node:crypto'
 import type { Server } from 'node:net'
 
 const ID_BYTES = 9
 
-/** A random identifier, unique for all practical purposes; URL-safe. */
+/** Returns a random, URL-safe identifier that is unique for all practical purposes. */
 export function createId (prefix: string): string {
   return `${prefix}-${randomBytes(ID_BYTES).toString('base64url')}`
 }
 
-/** First 48 bits of SHA-256, as a number: the same on every instance and in every version. */
+/** Returns the first 48 bits of SHA-256 as a number: the same on every instance and in every version. */
 export function stableHash (text: string): number {
   return createHash('sha256').update(text).digest().readUIntBE(0, 6)
 }
 
 /**
- * Candidates in the order that rendezvous hashing gives for `key`: a member that comes or goes moves
- * only the keys that it wins or held.
+ * Sorts candidates by rendezvous hashing for `key`. A candidate that is added or removed moves only the keys that are
+ * assigned to it.
  */
 export function rankByRendezvous<T> (key: string, candidates: readonly T[], idOf: (candidate: T) => string): T[] {
   return candidates
@@ -30,14 +30,14 @@
   port: number
 }
 
-/** Splits `ip:port`; IPv6 addresses stand in brackets. */
+/** Splits `ip:port`; IPv6 addresses are in brackets. */
 export function parseHostPort (address: string): HostPort {
   const split = address.lastIndexOf(':')
   const host = address.slice(0, split).replace(/^\[|\]$/g, '')
   return { host, port: Number(address.slice(split + 1)) }
 }
 
-/** Listens on `ip:port`; rejects where that cannot be bound. */
+/** Listens on `ip:port`; rejects if the address cannot be bound. */
 export function listenOn (server: Server, address: string): Promise<void> {
   const { host, port } = parseHostPort(address)
   return new Promise((resolve, reject) => {
@@ -46,12 +46,12 @@
   })
 }
 
-/** Text of anything thrown. */
+/** Returns the message of a thrown value. */
 export function messageOf (err: unknown): string {
   return err instanceof Error ? err.message : String(err)
 }
 
-/** The value of a JSON text, or undefined when it is none: records of others may be damaged. */
+/** Parses JSON; returns undefined for invalid text, since records written by other processes may be damaged. */
 export function parseJson (text: string): unknown {
   try {
     return JSON.parse(text) as unknown
@@ -60,7 +60,7 @@
   }
 }
 
-/** Adds to one of several counts; a count that is back at nothing is no longer held. */
+/** Adds `change` to the count of `key` and removes a count that reaches zero. */
 export function addCount (counts: Map<string, number>, key: string, change: number): void {
   const next = (counts.get(key) ?? 0) + change
   if (next > 0) counts.set(key, next)
--- a/packages/magnoliabay/src/node/wakeups.ts
+++ b/packages/magnoliabay/src/node/wakeups.ts
@@ -1,16 +1,16 @@
 /**
- * What wakes a process, counted by cause. Each turn of the event loop costs a small machine most of a millisecond,
- * whatever it does, so in a fleet of hundreds the number of turns decides what an idle instance costs.
+ * Counts by cause how often a process wakes up. Each iteration of the event loop takes most of a millisecond on a small
+ * machine, whatever it does, so in a fleet of hundreds the number of iterations determines the cost of an idle instance.
  */
 import { performance } from 'node:perf_hooks'
 import { addCount } from './utils'
 
-/** `peer` with the kind of frame or message, `caller` a request, `server` bytes of an answer. */
+/** `peer` is followed by the kind of frame or message; `caller` is a request, `server` bytes of a response. */
 export type WakeupCause = 'timer' | 'caller' | 'server' | `peer ${string}`
 
 export interface WakeupCounter {
   note (cause: WakeupCause): void
-  /** Since the start of the process. */
+  /** Returns the counts since the start of the process. */
   counts (): ReadonlyMap<string, number>
 }
 
@@ -22,7 +22,7 @@
   }
 }
 
-/** Turns of the event loop since the start of the process; 0 where the runtime does not count them. */
+/** Returns the iterations of the event loop since the start of the process; 0 if the runtime does not count them. */
 export function eventLoopIterations (): number {
   return (performance.nodeTiming as { uvMetricsInfo?: { loopCount: number } }).uvMetricsInfo?.loopCount ?? 0
 }
