--- a/packages/magnoliabay/src/node/allowance/allowance.ts
+++ b/packages/magnoliabay/src/node/allowance/allowance.ts
@@ -119,7 +119,7 @@
   }
   const createOverAllowanceFailure = (tokens: number, waitMs: number): Failure => {
     const waitSeconds = Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))
-    return createRefusal('over_allowance', `The team's allowance is spent. ${tokens} tokens will be available in ${waitSeconds} s.`, waitSeconds)
+    return createRefusal('over_allowance', `The team's allowance is spent. ${tokens} tokens will be there in ${waitSeconds} s.`, waitSeconds)
   }
   const reserveFromOwnShare = async (own: TeamShare, tokens: number): Promise<Result<Reservation, Failure>> => {
     const waitMs = await exchange.fetch(own, tokens)
@@ -131,7 +131,7 @@
     const result = await remote.reserve(team, tokens)
     if (result.kind === 'granted') return Ok({ team, tokens, held: { at: 'home', ticket: result.ticket } })
     if (result.kind === 'refused') return Err(createOverAllowanceFailure(tokens, result.waitMs))
-    return Err(createRefusal('over_allowance', 'The allowance cannot be checked at this instance at present. Use another instance.', UNAVAILABLE_RETRY_AFTER_S))
+    return Err(createRefusal('over_allowance', 'The allowance cannot be checked here just now. Use another instance.', UNAVAILABLE_RETRY_AFTER_S))
   }
 
   return {
@@ -144,7 +144,7 @@
     })),
     reserve: async (team, tokens) => {
       const own = shares.of(team)
-      if (own === undefined) return Err(createRefusal('over_allowance', `Team ${team} has no allowance at this instance yet.`, UNAVAILABLE_RETRY_AFTER_S))
+      if (own === undefined) return Err(createRefusal('over_allowance', `Team ${team} has no allowance here yet.`, UNAVAILABLE_RETRY_AFTER_S))
       const { burst } = own.share.size()
       if (tokens > burst) return Err(createRefusal('over_allowance', `The request needs ${tokens} tokens, more than the team's burst of ${burst}.`))
       own.demand.record(tokens, monotonic())
--- a/packages/magnoliabay/src/node/cells/cellLeader.ts
+++ b/packages/magnoliabay/src/node/cells/cellLeader.ts
@@ -207,7 +207,7 @@
       if (cfg.model(req.model) === undefined) return { status: 'unknown-model', reason: 'not in the configuration' }
       pendingDemand.add(req, clock.monotonic())
       history.recordUse(req.model, clock.monotonic())
-      if (inheritedIntents === undefined) return { status: 'queued', reason: 'the leader is still taking over the cell' }
+      if (inheritedIntents === undefined) return { status: 'queued', reason: 'the steward is taking its cell up' }
       scheduler.run()
       adapterLoader.reconcile()
       return statusOf(req.model)
--- a/packages/magnoliabay/src/node/cells/cells.ts
+++ b/packages/magnoliabay/src/node/cells/cells.ts
@@ -208,7 +208,7 @@
     const model = cfg.model(req.model)
     if (model === undefined) return { status: 'unknown-model', reason: 'not in the configuration' }
     const cells = cellsOfModel(req.model, cellCount()).filter(cell => quotaOfCell(model, cell, cellCount()) > 0)
-    let lastReply: DemandReply = { status: 'not-steward', reason: 'no cell has a leader yet' }
+    let lastReply: DemandReply = { status: 'not-steward', reason: 'no cell has a steward yet' }
     for (const cell of cells) {
       const leader = leaderships.get(cell)?.record?.holder
       if (leader === undefined) continue
@@ -235,7 +235,7 @@
   }
   const isOwnLeadership = (cell: string): boolean => leaderships.get(cell)?.record?.holder?.incarnation === peers.self.incarnation
 
-  peers.serve(demandCall, req => localLeaders.get(req.cell)?.requestReplica(req) ?? { status: 'not-steward', reason: 'this instance does not lead the cell' })
+  peers.serve(demandCall, req => localLeaders.get(req.cell)?.requestReplica(req) ?? { status: 'not-steward', reason: 'not steward here' })
   peers.serve(releaseCall, handleRelease)
   peers.serve(tablesCall, () => replicas.tables())
   peers.listen(tableNotice, replicas.applyTable)
--- a/packages/magnoliabay/src/node/cells/scheduler.ts
+++ b/packages/magnoliabay/src/node/cells/scheduler.ts
@@ -112,7 +112,7 @@
     const target = Math.min(options.quotaOf(cfg), options.targetReplicas(demand.model))
     if (usable.length >= target) return
     // A replica that is unloading, or that may still be loaded, counts until it is confirmed gone.
-    if (replicas.length + options.inheritedCount(demand.model) >= options.quotaOf(cfg)) return setBlockedReason(demand.model, 'the quota of replicas is in use, or may still be in use')
+    if (replicas.length + options.inheritedCount(demand.model) >= options.quotaOf(cfg)) return setBlockedReason(demand.model, 'as many replicas as decided are still there')
     const isStoreAvailable = options.storeLoadLimiter.hasCapacity()
     const placement = place(demand, cfg, isStoreAvailable)
     if (!isStoreAvailable || (placement.kind === 'load' && placement.tier === 'remote')) options.recordStoreDemand()
--- a/packages/magnoliabay/src/node/config/resolveFleet.ts
+++ b/packages/magnoliabay/src/node/config/resolveFleet.ts
@@ -160,7 +160,7 @@
   const withoutModels = new Set(overlay?.core.without?.model ?? [])
   return adapters.filter(adapter => !models.has(adapter.model)).map(adapter => {
     const owner = overlay !== undefined && (withoutModels.has(adapter.model) || hasEntry(overlay, 'adapter', adapter.name)) ? overlay : base
-    return { file: documentFileName(owner.document), path: `adapter ${adapter.name}.model`, found: adapter.model, allowed: 'a model that exists at this site' }
+    return { file: documentFileName(owner.document), path: `adapter ${adapter.name}.model`, found: adapter.model, allowed: 'a model that holds at this site' }
   })
 }
 
