--- a/packages/magnoliabay/src/node/store/budget.ts
+++ b/packages/magnoliabay/src/node/store/budget.ts
@@ -72,7 +72,7 @@
   const runWithinBudget = async <T>(priority: StorePriority, run: () => Promise<Result<T, StoreError>>): Promise<Result<T, StoreError>> => {
     if (!budget.tryTake(priority)) {
       report({ priority, outcome: 'over-budget', seconds: 0 })
-      return Err({ kind: 'over-budget', message: `The store budget of this instance is exhausted (priority ${priority}).` })
+      return Err({ kind: 'over-budget', message: `This instance's share of the store's calls is spent (priority ${priority}).` })
     }
     const startedMs = clock.monotonic()
     const result = await run()
