--- a/packages/standins/src/node/engine/memory.ts
+++ b/packages/standins/src/node/engine/memory.ts
@@ -1,5 +1,5 @@
 /**
- * The engine's own account of memory: what is held, the most ever held, and orders that would have overcommitted it.
+ * The engine's memory accounting: current use, peak use, and orders that would have exceeded the total.
  */
 export interface OvercommitAttempt {
   orderId: string
@@ -9,10 +9,10 @@
 }
 
 export interface MemoryAccount {
-  /** Reserves, or notes the attempt and returns false. */
+  /** Reserves memory; when it doesn't fit, records the attempt and returns false. */
   reserve (wantedMiB: number, orderId: string, atMs: number): boolean
   free (memoryMiB: number): void
-  /** The process started anew: all is free. The high-water mark and the attempts stay. */
+  /** Frees all memory when the process dies. The high-water mark and the attempts stay. */
   clear (): void
   usedMiB (): number
   highWaterMiB (): number
--- a/packages/standins/src/node/engine/requests.ts
+++ b/packages/standins/src/node/engine/requests.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what callers send to the engine.
+ * Parses the requests and orders that callers send to the engine.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import { PRIORITY_HEADER, REQUEST_ID_HEADER } from 'magnoliabay/backend/protocol'
@@ -24,11 +24,11 @@
     prompt: shape === 'chat' ? promptOf(body.messages) : asText(body.prompt),
     maxTokens: typeof maxTokens === 'number' ? maxTokens : undefined,
     priority: Number(headers[PRIORITY_HEADER] ?? DEFAULT_PRIORITY),
-    headers: flatHeaders(headers)
+    headers: flattenHeaders(headers)
   }
 }
 
-/** Undefined when the body is no order. */
+/** Parses an order; returns undefined when the body isn't one. */
 export function readOrder (body: JsonObject): Order | undefined {
   const action = ACTIONS.find(known => known === body.action)
   if (action === undefined || typeof body.orderId !== 'string' || typeof body.fence !== 'number') return undefined
@@ -44,7 +44,7 @@
   }
 }
 
-/** All message contents joined by newlines. */
+/** Joins the contents of all messages with newlines. */
 export function promptOf (messages: unknown): string {
   return asList(messages).map(message => contentOf(asObject(message).content)).join('\n')
 }
@@ -54,6 +54,6 @@
   return asList(content).map(part => asText(asObject(part).text)).join('')
 }
 
-function flatHeaders (headers: IncomingHttpHeaders): Readonly<Record<string, string>> {
+function flattenHeaders (headers: IncomingHttpHeaders): Readonly<Record<string, string>> {
   return Object.fromEntries(Object.entries(headers).map(([name, value]) => [name, String(value)]))
 }
--- a/packages/standins/src/node/engine/run.ts
+++ b/packages/standins/src/node/engine/run.ts
@@ -1,10 +1,10 @@
 /**
- * One request on the engine: its answer, how far it has come, and how it ended.
+ * One request on the engine: its answer, its progress and its outcome.
  */
 import type { Answer } from './generate'
 import type { EngineRequestRecord, GenerateRequest, RequestOutcome } from './types'
 
-/** `token`: it has been generated. `end`: the answer is whole without it. `cut`: it will never come. */
+/** `token`: the token has been generated. `end`: the answer is complete without it. `cut`: it will never be generated. */
 export type RunProgress = 'token' | 'end' | 'cut'
 
 export type RunEnd = Exclude<RequestOutcome, 'waiting' | 'running' | 'refused'>
@@ -13,15 +13,16 @@
   readonly request: GenerateRequest
   readonly record: EngineRequestRecord
   readonly answer: Answer
-  /** Base model. */
+  /** The base model. */
   readonly model: string
   /** Aborts when the run has ended. */
   readonly signal: AbortSignal
   readonly ended: Promise<void>
-  /** Resolves once token `index` is there or will never be. */
-  reach (index: number): Promise<RunProgress>
-  produce (): void
-  /** The first call counts. */
+  /** Resolves once token `index` has been generated or never will be. */
+  waitForToken (index: number): Promise<RunProgress>
+  /** Counts one more generated token. */
+  addToken (): void
+  /** Ends the run; later calls have no effect. */
   end (outcome: RunEnd, atMs: number): void
 }
 
@@ -41,14 +42,14 @@
     model,
     signal: abort.signal,
     ended,
-    reach: async index => {
+    waitForToken: async index => {
       while (record.tokens <= index && !abort.signal.aborted) {
         await new Promise<void>(resolve => { waiters.push(resolve) })
       }
       if (record.tokens > index) return 'token'
       return record.completed ? 'end' : 'cut'
     },
-    produce: () => {
+    addToken: () => {
       record.tokens += 1
       wake()
     },
