--- a/packages/standins/src/node/kv/watchStreams.ts
+++ b/packages/standins/src/node/kv/watchStreams.ts
@@ -1,5 +1,5 @@
 /**
- * Watches over HTTP: one response each, a line of JSON for every message.
+ * Serves watches over HTTP: one response each, with one line of JSON per message.
  */
 import type { ServerResponse } from 'node:http'
 import type { CancelTimer, Clock } from 'magnoliabay/clock/index'
@@ -15,12 +15,12 @@
 }
 
 export interface WatchStreams {
-  /** Serves one watch on `res` until the caller goes away. */
+  /** Serves one watch on `res` until the caller disconnects. */
   open (request: JsonObject, res: ServerResponse): void
   /** Cuts every open watch. */
-  cut (): void
-  /** Open watches get nothing more, but stay open. */
-  silence (): void
+  disconnectAll (): void
+  /** Stops sending to the open watches without closing them. */
+  silenceAll (): void
 }
 
 interface WatchStream {
@@ -42,13 +42,13 @@
 
   const sendProgress = (res: ServerResponse): CancelTimer => {
     let cancel: CancelTimer = () => {}
-    const tick = (): void => {
+    const scheduleNext = (): void => {
       cancel = clock.schedule(progressIntervalMs, () => {
         send(res, {})
-        tick()
+        scheduleNext()
       })
     }
-    tick()
+    scheduleNext()
     return () => cancel()
   }
 
@@ -78,7 +78,7 @@
         open.delete(stream)
       })
     },
-    cut: () => open.forEach(stream => stream.res.destroy()),
-    silence: () => open.forEach(stream => stream.stop())
+    disconnectAll: () => open.forEach(stream => stream.res.destroy()),
+    silenceAll: () => open.forEach(stream => stream.stop())
   }
 }
--- a/packages/standins/src/node/kv/wire.ts
+++ b/packages/standins/src/node/kv/wire.ts
@@ -1,5 +1,5 @@
 /**
- * The etcd v3 gateway's JSON: base64 keys and values, int64 as decimal strings, zero values left out.
+ * Encodes and decodes the etcd v3 gateway's JSON: base64 keys and values, int64 as decimal strings, zero values omitted.
  */
 import { asList, asObject, asText } from '../http/json'
 import type { JsonObject } from '../http/json'
@@ -9,7 +9,7 @@
   KvTransaction
 } from './types'
 
-/** Status and gRPC code by which the gateway reports an error. */
+/** HTTP status, gRPC code and message with which the gateway reports an error. */
 export interface WireError {
   status: number
   code: number
@@ -50,7 +50,7 @@
   return Buffer.from(text, 'utf8').toString('base64')
 }
 
-/** The gateway takes int64 as a decimal string or as a number. */
+/** Reads an int64, which the gateway accepts as a decimal string or as a number. */
 export function readInt (value: unknown): number {
   return Number(value ?? 0)
 }
@@ -59,7 +59,7 @@
   return value === undefined ? NO_LEASE : String(value)
 }
 
-/** The gateway takes a field under its protobuf name or in camel case. */
+/** Reads a field, which the gateway accepts under its protobuf name or in camel case. */
 export function field (body: JsonObject, name: string): unknown {
   return body[name] ?? body[name.replace(/_(\w)/g, (_all, letter: string) => letter.toUpperCase())]
 }
@@ -116,7 +116,7 @@
 
 export function writeEvent (event: KvEvent): JsonObject {
   const { key, modRevision } = event.entry
-  // PUT is the zero value of the type and so is left out, as in the published gateway.
+  // PUT is the zero value of the type and therefore omitted, as in the published gateway.
   if (event.kind === 'put') return { kv: writeEntry(event.entry) }
   return { type: 'DELETE', kv: { key: encode(key), mod_revision: String(modRevision) } }
 }
