--- a/packages/standins/src/node/admin.ts
+++ b/packages/standins/src/node/admin.ts
@@ -1,5 +1,5 @@
 /**
- * Endpoints on every stand-in by which checks switch faults and read records while it runs:
+ * Admin endpoints of every stand-in, through which checks switch faults and read records while it runs:
  * `GET /faults`, `POST /faults` with some of the fault fields, `GET /records`.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -9,15 +9,15 @@
 import type { Listener } from './http/listener'
 import type { FaultSwitches } from './faults'
 
-/** What the admin endpoints show of one stand-in. */
+/** One stand-in as the admin endpoints access it. */
 export interface AdminTarget {
   faults (): object
-  /** Changes nothing and returns the fields at fault when one is unknown or of the wrong type. */
+  /** Applies the changes, or, when a field is unknown or has the wrong type, changes nothing and returns those fields. */
   setFaults (changes: object): Promise<readonly string[]>
   records (): unknown
 }
 
-/** Sees a stand-in's typed switches as an {@link AdminTarget}. */
+/** Adapts a stand-in's typed switches to an {@link AdminTarget}. */
 export function createAdminTarget<T extends object> (switches: FaultSwitches<T>, records: () => unknown): AdminTarget {
   return {
     faults: () => switches.current,
@@ -43,7 +43,7 @@
   }
 }
 
-/** Answers an admin call under `path`; false when it isn't one. */
+/** Handles an admin call under `path`; returns false when it isn't one. */
 export function handleAdmin (target: AdminTarget, path: string, req: IncomingMessage, res: ServerResponse): boolean {
   const handler = ADMIN_HANDLERS[`${req.method} ${path}`]
   if (handler === undefined) return false
@@ -52,7 +52,7 @@
 }
 
 export interface AdminServerOptions {
-  /** By name of the stand-in. */
+  /** Keyed by the name of the stand-in. */
   targets: ReadonlyMap<string, AdminTarget>
   /** @default '127.0.0.1' */
   host?: string
@@ -61,8 +61,8 @@
 }
 
 /**
- * One server for all stand-ins, `/<name>/faults` and `/<name>/records`: it stays reachable while a stand-in
- * refuses connections.
+ * Starts one admin server for all stand-ins, with `/<name>/faults` and `/<name>/records`. It stays reachable while a
+ * stand-in refuses connections.
  */
 export function createAdminServer (options: AdminServerOptions): Promise<Listener> {
   const { targets, host, port } = options
--- a/packages/standins/src/node/http/json.ts
+++ b/packages/standins/src/node/http/json.ts
@@ -1,5 +1,5 @@
 /**
- * JSON bodies over plain `node:http`.
+ * Reads and sends JSON bodies over plain `node:http`.
  */
 import type { IncomingMessage, OutgoingHttpHeaders, ServerResponse } from 'node:http'
 
@@ -18,7 +18,7 @@
   return Buffer.concat(chunks).toString('utf8')
 }
 
-/** Parses an object; anything else counts as an empty one. */
+/** Parses an object; returns an empty one for any other text. */
 export function parseObject (text: string): JsonObject {
   try {
     return asObject(JSON.parse(text))
@@ -27,17 +27,17 @@
   }
 }
 
-/** `value` when it is an object, else an empty one. */
+/** Returns `value` when it is an object, else an empty one. */
 export function asObject (value: unknown): JsonObject {
   return typeof value === 'object' && value !== null ? value as JsonObject : EMPTY
 }
 
-/** `value` when it is a list, else an empty one. */
+/** Returns `value` when it is an array, else an empty one. */
 export function asList (value: unknown): readonly unknown[] {
   return Array.isArray(value) ? value : []
 }
 
-/** `value` when it is a string, else ''. */
+/** Returns `value` when it is a string, else ''. */
 export function asText (value: unknown): string {
   return typeof value === 'string' ? value : ''
 }
--- a/packages/standins/src/node/index.ts
+++ b/packages/standins/src/node/index.ts
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for the systems outside: key-value service, instance list, weight store, engines, plain services.
+ * Stand-ins for the external systems: key-value service, instance list, weight store, engines, plain services.
  */
 export * from './admin'
 export * from './engine'
