--- a/packages/standins/src/node/engine/delivery.ts
+++ b/packages/standins/src/node/engine/delivery.ts
@@ -23,7 +23,7 @@
 
 const MS_PER_SECOND = 1000
 const DONE_DATA = '[DONE]'
-const OBJECTS: Readonly<Record<AnswerShape, { whole: string, part: string, id: string }>> = {
+const OBJECT_NAMES: Readonly<Record<AnswerShape, { whole: string, part: string, id: string }>> = {
   chat: { whole: 'chat.completion', part: 'chat.completion.chunk', id: 'chatcmpl' },
   text: { whole: 'text_completion', part: 'text_completion', id: 'cmpl' }
 }
@@ -115,11 +115,11 @@
   const text = content.answer.tokens.join('')
   const finish = { index: 0, finish_reason: content.answer.finishReason }
   const choice = shape === 'chat' ? { ...finish, message: { role: 'assistant', content: text } } : { ...finish, text }
-  return { ...commonFields(delivery), object: OBJECTS[shape].whole, choices: [choice], usage: usageOf(content.answer) }
+  return { ...commonFields(delivery), object: OBJECT_NAMES[shape].whole, choices: [choice], usage: usageOf(content.answer) }
 }
 
 function commonFields ({ run, content }: Delivery): object {
-  const { id, part: object } = OBJECTS[run.request.shape]
+  const { id, part: object } = OBJECT_NAMES[run.request.shape]
   return {
     id: `${id}-${content.requestId}`,
     object,
--- a/packages/standins/src/node/engine/run.ts
+++ b/packages/standins/src/node/engine/run.ts
@@ -29,10 +29,10 @@
 export function createRun (request: GenerateRequest, record: EngineRequestRecord, model: string, answer: Answer): Run {
   const abort = new AbortController()
   let waiters: Array<() => void> = []
-  const wake = (): void => {
-    const woken = waiters
+  const resolveWaiters = (): void => {
+    const resolved = waiters
     waiters = []
-    woken.forEach(resolve => resolve())
+    resolved.forEach(resolve => resolve())
   }
   const ended = new Promise<void>(resolve => abort.signal.addEventListener('abort', () => resolve(), { once: true }))
   return {
@@ -51,7 +51,7 @@
     },
     addToken: () => {
       record.tokens += 1
-      wake()
+      resolveWaiters()
     },
     end: (outcome, atMs) => {
       if (abort.signal.aborted) return
@@ -59,7 +59,7 @@
       record.completed = outcome === 'completed'
       record.endedAtMs = atMs
       abort.abort()
-      wake()
+      resolveWaiters()
     }
   }
 }
--- a/packages/standins/src/node/engine/server.ts
+++ b/packages/standins/src/node/engine/server.ts
@@ -77,13 +77,13 @@
   const complete = (shape: AnswerShape): Handler => async (req, res) => {
     const body = parseObject(await readText(req))
     const request = readGenerateRequest(shape, body, req.headers)
-    const submitted = engine.submit(request)
-    if (submitted.err) {
-      const { kind } = submitted.val
+    const submission = engine.submit(request)
+    if (submission.err) {
+      const { kind } = submission.val
       const headers = { [NOT_RUN_HEADER]: 'true', [REQUEST_ID_HEADER]: request.requestId }
       return sendJson(res, REFUSAL_STATUS[kind], { error: { type: kind } }, headers)
     }
-    const run = submitted.val
+    const run = submission.val
     attach(run, res)
     if (faults.current.lateAnswerMs > 0) await sleep(clock, faults.current.lateAnswerMs)
     const delivery = { run, content: contentFor(run), res, faults: faults.current }
