--- a/packages/standins/src/node/engine/run.ts
+++ b/packages/standins/src/node/engine/run.ts
@@ -1,10 +1,10 @@
 /**
- * One request on the engine: its answer, how far it has come, and how it ended.
+ * One request on the engine: its answer, its progress and its outcome.
  */
 import type { Answer } from './generate'
 import type { EngineRequestRecord, GenerateRequest, RequestOutcome } from './types'
 
-/** `token`: it has been generated. `end`: the answer is whole without it. `cut`: it will never come. */
+/** `token`: the token has been generated. `end`: the answer is complete without it. `cut`: it will never be generated. */
 export type RunProgress = 'token' | 'end' | 'cut'
 
 export type RunEnd = Exclude<RequestOutcome, 'waiting' | 'running' | 'refused'>
@@ -13,25 +13,26 @@
   readonly request: GenerateRequest
   readonly record: EngineRequestRecord
   readonly answer: Answer
-  /** Base model. */
+  /** The base model. */
   readonly model: string
   /** Aborts when the run has ended. */
   readonly signal: AbortSignal
   readonly ended: Promise<void>
-  /** Resolves once token `index` is there or will never be. */
-  reach (index: number): Promise<RunProgress>
-  produce (): void
-  /** The first call counts. */
+  /** Resolves once token `index` has been generated or never will be. */
+  waitForToken (index: number): Promise<RunProgress>
+  /** Counts one more generated token. */
+  addToken (): void
+  /** Ends the run; later calls have no effect. */
   end (outcome: RunEnd, atMs: number): void
 }
 
 export function createRun (request: GenerateRequest, record: EngineRequestRecord, model: string, answer: Answer): Run {
   const abort = new AbortController()
   let waiters: Array<() => void> = []
-  const wake = (): void => {
-    const woken = waiters
+  const resolveWaiters = (): void => {
+    const resolved = waiters
     waiters = []
-    woken.forEach(resolve => resolve())
+    resolved.forEach(resolve => resolve())
   }
   const ended = new Promise<void>(resolve => abort.signal.addEventListener('abort', () => resolve(), { once: true }))
   return {
@@ -41,16 +42,16 @@
     model,
     signal: abort.signal,
     ended,
-    reach: async index => {
+    waitForToken: async index => {
       while (record.tokens <= index && !abort.signal.aborted) {
         await new Promise<void>(resolve => { waiters.push(resolve) })
       }
       if (record.tokens > index) return 'token'
       return record.completed ? 'end' : 'cut'
     },
-    produce: () => {
+    addToken: () => {
       record.tokens += 1
-      wake()
+      resolveWaiters()
     },
     end: (outcome, atMs) => {
       if (abort.signal.aborted) return
@@ -58,7 +59,7 @@
       record.completed = outcome === 'completed'
       record.endedAtMs = atMs
       abort.abort()
-      wake()
+      resolveWaiters()
     }
   }
 }
