--- a/scripts/__tests__/judgeTests.spec.ts
+++ b/scripts/__tests__/testReport.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { checkTestReport } from '../judgeTests'
+import { checkTestReport } from '../testReport'
 
 const run = (passes: string[], failures: string[]) => ({
   stats: { passes: passes.length, failures: failures.length },
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -9,21 +9,21 @@
 import { createLogger } from '../packages/magnoliabay/src/node/logger'
 
 const BURST_PER_ENTRY = 4
-const KEY_IN_FORCE_MS = 500
+const KEY_PROPAGATION_DELAY_MS = 500
 
-interface Answer {
+interface HttpResponse {
   status: number
   text: string
 }
 
 let failures = 0
 
-function check (what: string, holds: boolean, seen: string): void {
-  process.stdout.write(`${holds ? 'ok  ' : 'FAIL'} ${what}: ${seen}\n`)
-  if (!holds) failures += 1
+function check (description: string, passed: boolean, detail: string): void {
+  process.stdout.write(`${passed ? 'ok  ' : 'FAIL'} ${description}: ${detail}\n`)
+  if (!passed) failures += 1
 }
 
-async function call (url: string, key: string, body?: object, headers: Record<string, string> = {}): Promise<Answer> {
+async function call (url: string, key: string, body?: object, headers: Record<string, string> = {}): Promise<HttpResponse> {
   const res = await request(url, {
     method: body === undefined ? 'GET' : 'POST',
     headers: { authorization: `Bearer ${key}`, 'content-type': 'application/json', ...headers },
@@ -33,10 +33,10 @@
 }
 
 const pause = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms))
-const isWhole = (answer: Answer): boolean => answer.status === 200 && answer.text.trimEnd().endsWith('data: [DONE]')
-const codeOf = (answer: Answer): string => (JSON.parse(answer.text) as { error: { code: string } }).error.code
+const isComplete = (response: HttpResponse): boolean => response.status === 200 && response.text.trimEnd().endsWith('data: [DONE]')
+const codeOf = (response: HttpResponse): string => (JSON.parse(response.text) as { error: { code: string } }).error.code
 
-async function coldStart ({ entryUrls: entries, callerKey, models, standIns }: EmbeddedFleet): Promise<void> {
+async function checkColdStart ({ entryUrls: entries, callerKey, models, standIns }: EmbeddedFleet): Promise<void> {
   const located = await call(`${entries[0]}/v1/locate?model=${models[0]}`, callerKey)
   const { addresses } = JSON.parse(located.text) as { addresses: Array<{ address: string, failure_domain: string }> }
   const domains = new Set(addresses.map(address => address.failure_domain))
@@ -44,14 +44,14 @@
 
   const body = { model: models[0], stream: true, max_tokens: 16, messages: [{ role: 'user', content: 'where is my lorry' }] }
   const burst = entries.flatMap(entry => Array.from({ length: BURST_PER_ENTRY }, () => call(`${entry}/v1/chat/completions`, callerKey, body)))
-  const answers = await Promise.all(burst)
-  const broken = answers.find(answer => !isWhole(answer))
-  check('a burst for a cold model is answered whole at every entry', broken === undefined, `${answers.filter(isWhole).length} of ${answers.length} ${broken?.text ?? ''}`)
+  const responses = await Promise.all(burst)
+  const incomplete = responses.find(answer => !isComplete(answer))
+  check('a burst for a cold model is answered whole at every entry', incomplete === undefined, `${responses.filter(isComplete).length} of ${responses.length} ${incomplete?.text ?? ''}`)
   const loaded = standIns.engines.flatMap(engine => engine.state.state().models.filter(model => model.model === models[0]))
   check('the model was loaded once', loaded.length === 1, `${loaded.length} replica(s)`)
 }
 
-async function onceOnly ({ entryUrls: entries, callerKey, standIns }: EmbeddedFleet): Promise<void> {
+async function checkRunsOnce ({ entryUrls: entries, callerKey, standIns }: EmbeddedFleet): Promise<void> {
   const headers = { 'idempotency-key': 'note-17' }
   const note = { tins: 12, residueKg: 3.5 }
   const first = await call(`${entries[0]}/v1/services/${EMBEDDED_SERVICE}/transfer-notes`, callerKey, note, headers)
@@ -61,34 +61,34 @@
   check('the repeat gets the same answer at another instance', first.text === second.text, second.text.slice(0, 60))
 }
 
-async function overAllowance ({ entryUrls: entries, operatorClient: operators, models }: EmbeddedFleet): Promise<void> {
+async function checkOverAllowance ({ entryUrls: entries, operatorClient: operators, models }: EmbeddedFleet): Promise<void> {
   const { key } = await operators.createKey(EMBEDDED_SMALL_TEAM)
-  await pause(KEY_IN_FORCE_MS)
+  await pause(KEY_PROPAGATION_DELAY_MS)
   const body = { model: models[0], max_tokens: 5000, messages: [{ role: 'user', content: 'everything, please' }] }
-  const answer = await call(`${entries[0]}/v1/chat/completions`, key, body)
-  check('a request over the allowance is refused, not run', answer.status === 429 && answer.text.includes('"not_run":true'), codeOf(answer))
+  const response = await call(`${entries[0]}/v1/chat/completions`, key, body)
+  check('a request over the allowance is refused, not run', response.status === 429 && response.text.includes('"not_run":true'), codeOf(response))
 }
 
-async function withdrawnKey ({ entryUrls: entries, callerKey, callerKeyId, operatorClient: operators, models }: EmbeddedFleet): Promise<void> {
+async function checkWithdrawnKey ({ entryUrls: entries, callerKey, callerKeyId, operatorClient: operators, models }: EmbeddedFleet): Promise<void> {
   await operators.withdrawKey(callerKeyId)
-  await pause(KEY_IN_FORCE_MS)
+  await pause(KEY_PROPAGATION_DELAY_MS)
   const body = { model: models[0], messages: [{ role: 'user', content: 'let me in' }] }
-  const answers = await Promise.all(entries.map(entry => call(`${entry}/v1/chat/completions`, callerKey, body)))
-  check('a withdrawn key works nowhere', answers.every(answer => answer.status === 401), answers.map(codeOf).join(', '))
+  const responses = await Promise.all(entries.map(entry => call(`${entry}/v1/chat/completions`, callerKey, body)))
+  check('a withdrawn key works nowhere', responses.every(answer => answer.status === 401), responses.map(codeOf).join(', '))
 }
 
-function keyStaysInside ({ standIns, callerKey }: EmbeddedFleet): void {
-  const seen = JSON.stringify(standIns.engines.flatMap(engine => engine.state.records()))
-  check('no backend server saw the key', !seen.includes(callerKey), `${standIns.engines.length} engines`)
+function checkKeyNotForwarded ({ standIns, callerKey }: EmbeddedFleet): void {
+  const engineRecords = JSON.stringify(standIns.engines.flatMap(engine => engine.state.records()))
+  check('no backend server saw the key', !engineRecords.includes(callerKey), `${standIns.engines.length} engines`)
 }
 
 async function main (): Promise<void> {
   const embedded = await startEmbeddedFleet({ logger: createLogger({ level: 'warn' }) })
-  await coldStart(embedded)
-  await onceOnly(embedded)
-  await overAllowance(embedded)
-  await withdrawnKey(embedded)
-  keyStaysInside(embedded)
+  await checkColdStart(embedded)
+  await checkRunsOnce(embedded)
+  await checkOverAllowance(embedded)
+  await checkWithdrawnKey(embedded)
+  checkKeyNotForwarded(embedded)
   await embedded.close()
   process.stdout.write(failures === 0 ? 'demo: every check held\n' : `demo: ${failures} check(s) failed\n`)
   process.exit(failures === 0 ? 0 : 1)
--- a/scripts/docLinks.ts
+++ b/scripts/docLinks.ts
@@ -2,7 +2,7 @@
 import { existsSync, readFileSync, readdirSync } from 'node:fs'
 import { dirname, join, relative } from 'node:path'
 
-const SKIPPED = new Set(['node_modules', 'dist', '.git', 'coverage'])
+const SKIPPED_DIRECTORIES = new Set(['node_modules', 'dist', '.git', 'coverage'])
 const LINK = /\[[^\]]*\]\(([^)\s]+)\)/g
 const CODE_BLOCK = /^```[\s\S]*?^```/gm
 const HEADING = /^#+\s+(.+)$/gm
@@ -16,7 +16,7 @@
 export function findDocuments (root: string): string[] {
   return readdirSync(root, { withFileTypes: true }).flatMap(entry => {
     const path = join(root, entry.name)
-    if (entry.isDirectory()) return SKIPPED.has(entry.name) ? [] : findDocuments(path)
+    if (entry.isDirectory()) return SKIPPED_DIRECTORIES.has(entry.name) ? [] : findDocuments(path)
     return entry.name.endsWith('.md') ? [path] : []
   })
 }
@@ -33,9 +33,9 @@
 
 function resolves (file: string, target: string): boolean {
   const [path = '', anchor] = target.split('#', 2)
-  const wanted = path === '' ? file : join(dirname(file), path)
-  if (!existsSync(wanted)) return false
-  return anchor === undefined || anchorsOf(wanted).includes(anchor)
+  const targetFile = path === '' ? file : join(dirname(file), path)
+  if (!existsSync(targetFile)) return false
+  return anchor === undefined || anchorsOf(targetFile).includes(anchor)
 }
 
 function anchorsOf (file: string): string[] {
--- a/scripts/fleet.ts
+++ b/scripts/fleet.ts
@@ -9,7 +9,7 @@
 import { checkGuarantees } from './fleet/guarantees'
 import { formatRuns, writeReports } from './fleet/report'
 import type { FaultRun } from './fleet/report'
-import { createWorld } from './fleet/world'
+import { createHarness } from './fleet/harness'
 
 const OPTIONS = {
   faults: { type: 'string', default: 'all' },
@@ -35,17 +35,17 @@
 
 async function runFault (fault: Fault, options: RunOptions): Promise<FaultRun> {
   const startedMs = Date.now()
-  const world = await createWorld({ seed: options.seed, instances: options.instances, rate: options.rate, directory: `${options.out}/${fault.name}` })
+  const harness = await createHarness({ seed: options.seed, instances: options.instances, rate: options.rate, directory: `${options.out}/${fault.name}` })
   try {
-    const loadFromMs = Date.now()
-    world.callers.start()
+    const loadStartedMs = Date.now()
+    harness.callers.start()
     await pause(options.aroundMs)
-    await fault.run(world)
+    await fault.run(harness)
     await pause(options.aroundMs)
-    world.callers.stop()
-    await world.callers.drained()
-    const points = world.observations.calls.map(call => ({
-      atSeconds: (call.startedAtMs - loadFromMs) / 1000,
+    harness.callers.stop()
+    await harness.callers.waitForOpenCalls()
+    const points = harness.observations.calls.map(call => ({
+      atSeconds: (call.startedAtMs - loadStartedMs) / 1000,
       firstByteMs: (call.firstByteAtMs ?? call.endedAtMs) - call.startedAtMs,
       result: call.result
     }))
@@ -53,19 +53,19 @@
       fault: { name: fault.name, what: fault.what },
       seed: options.seed,
       tookMs: Date.now() - startedMs,
-      verdicts: checkGuarantees(world),
-      measures: computeMeasurements(world),
+      verdicts: checkGuarantees(harness),
+      measures: computeMeasurements(harness),
       points
     }
   } finally {
-    await world.close()
+    await harness.close()
   }
 }
 
 async function main (): Promise<void> {
   const { values } = parseArgs({ options: OPTIONS })
-  const wanted = values.faults === 'all' ? FAULTS : FAULTS.filter(fault => values.faults.split(',').includes(fault.name))
-  if (wanted.length === 0) {
+  const selected = values.faults === 'all' ? FAULTS : FAULTS.filter(fault => values.faults.split(',').includes(fault.name))
+  if (selected.length === 0) {
     process.stderr.write(`Say which faults: ${FAULTS.map(fault => fault.name).join(', ')}, or all\n`)
     process.exit(2)
   }
@@ -77,16 +77,16 @@
     out: values.out
   }
   const runs: FaultRun[] = []
-  for (const fault of wanted) {
+  for (const fault of selected) {
     runs.push(await runFault(fault, options))
     writeReports(options.out, runs)
     process.stdout.write(`${fault.name}: done in ${Math.round(runs.at(-1)!.tookMs / 1000)} s\n`)
   }
   process.stdout.write(`\n${formatRuns(runs)}\n`)
-  const judged = runs.flatMap(run => run.verdicts).filter(verdict => !values.safety || verdict.isSafety)
-  const broken = judged.filter(verdict => verdict.violations.length > 0).length
-  process.stdout.write(`\nfleet: ${judged.length - broken} passed, ${broken} failed\n`)
-  process.exit(broken === 0 ? 0 : 1)
+  const verdicts = runs.flatMap(run => run.verdicts).filter(verdict => !values.safety || verdict.isSafety)
+  const failed = verdicts.filter(verdict => verdict.violations.length > 0).length
+  process.stdout.write(`\nfleet: ${verdicts.length - failed} passed, ${failed} failed\n`)
+  process.exit(failed === 0 ? 0 : 1)
 }
 
 main()
--- a/scripts/fleet/callers.ts
+++ b/scripts/fleet/callers.ts
@@ -28,48 +28,48 @@
   start (): void
   stop (): void
   /** Resolves when every call has ended. */
-  drained (): Promise<void>
+  waitForOpenCalls (): Promise<void>
   /** A team sends this many times its rate. */
   flood (team: string, factor: number): void
   /** Sends one completion whose prompt holds `text`. */
   complete (text: string): Promise<CallRecord>
 }
 
-interface Located {
+interface LocateResult {
   addresses: readonly string[]
-  untilMs: number
+  expiresAtMs: number
 }
 
 const CALL_DEADLINE_MS = 15_000
 /** Well after the deadline: a caller that hears nothing until then was dropped. */
-const GIVE_UP_MS = 25_000
+const CLIENT_TIMEOUT_MS = 25_000
 const MAX_TOKENS = 32
-const SERVICE_SHARE = 0.12
-const REPEAT_SHARE = 0.3
-const BURST_SHARE = 0.02
+const SERVICE_CALL_RATIO = 0.12
+const REPEAT_RATIO = 0.3
+const BURST_RATIO = 0.02
 const BURST_SIZE = 6
 const CONNECT_TIMEOUT_MS = 1000
-const NEVER_SENT: ReadonlySet<string> = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT'])
-const GIVEN_UP: ReadonlySet<string> = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT'])
+const NOT_SENT_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT'])
+const TIMEOUT_CODES: ReadonlySet<string> = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT'])
 
 export function createCallers (options: CallersOptions): Callers {
   const { random, observations } = options
-  const agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS }, headersTimeout: GIVE_UP_MS, bodyTimeout: GIVE_UP_MS })
-  const located = new Map<string, Located>()
-  const open = new Set<Promise<unknown>>()
+  const agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS }, headersTimeout: CLIENT_TIMEOUT_MS, bodyTimeout: CLIENT_TIMEOUT_MS })
+  const entriesByTeam = new Map<string, LocateResult>()
+  const openCalls = new Set<Promise<unknown>>()
   const floods = new Map<string, number>()
   const totalPopularity = MODELS.reduce((sum, model) => sum + model.popularity, 0)
   let isRunning = false
   let nextId = 1
 
   const track = <T>(promise: Promise<T>): Promise<T> => {
-    open.add(promise)
-    promise.finally(() => open.delete(promise))
+    openCalls.add(promise)
+    promise.finally(() => openCalls.delete(promise))
     return promise
   }
   const pickTeam = (): SiteTeam => {
     let left = random.next()
-    return TEAMS.find(team => (left -= team.share) < 0) ?? TEAMS[0]!
+    return TEAMS.find(team => (left -= team.arrivalRatio) < 0) ?? TEAMS[0]!
   }
   const pickModel = (): string => {
     let left = random.next() * totalPopularity
@@ -77,25 +77,25 @@
   }
 
   const locate = async (team: string, key: string): Promise<readonly string[]> => {
-    const known = located.get(team)
-    if (known !== undefined && known.untilMs > Date.now()) return known.addresses
-    const asked = [...(known?.addresses ?? []), ...options.seeds()]
-    for (const address of asked) {
-      const answer = await ask(address, key)
-      if (answer === undefined || answer.addresses.length === 0) continue
-      located.set(team, answer)
-      return answer.addresses
+    const cached = entriesByTeam.get(team)
+    if (cached !== undefined && cached.expiresAtMs > Date.now()) return cached.addresses
+    const candidates = [...(cached?.addresses ?? []), ...options.seeds()]
+    for (const address of candidates) {
+      const result = await fetchEntries(address, key)
+      if (result === undefined || result.addresses.length === 0) continue
+      entriesByTeam.set(team, result)
+      return result.addresses
     }
     return options.seeds()
   }
-  const ask = async (address: string, key: string): Promise<Located | undefined> => {
+  const fetchEntries = async (address: string, key: string): Promise<LocateResult | undefined> => {
     try {
       const res = await request(`http://${address}/v1/locate`, {
         headers: { authorization: `Bearer ${key}` }, dispatcher: agent, headersTimeout: CONNECT_TIMEOUT_MS
       })
       const body = await res.body.json() as { addresses?: Array<{ address: string }>, keep_seconds?: number }
       if (body.addresses === undefined) return undefined
-      return { addresses: body.addresses.map(item => item.address), untilMs: Date.now() + (body.keep_seconds ?? 1) * 1000 }
+      return { addresses: body.addresses.map(item => item.address), expiresAtMs: Date.now() + (body.keep_seconds ?? 1) * 1000 }
     } catch {
       return undefined
     }
@@ -107,7 +107,7 @@
       record.instance = options.instanceAt(address)
       const isSent = await attempt(record, address, path, body, headers)
       if (isSent) break
-      located.delete(record.team)
+      entriesByTeam.delete(record.team)
     }
     record.endedAtMs = Date.now()
     observations.calls.push(record)
@@ -129,9 +129,9 @@
         received.push(String(chunk))
       }
     } catch (err) {
-      return noteBroken(record, (err as { code?: string }).code ?? messageOf(err), received.join(''))
+      return classifyConnectionError(record, (err as { code?: string }).code ?? messageOf(err), received.join(''))
     }
-    judge(record, status, received.join(''), body)
+    classifyResponse(record, status, received.join(''), body)
     return true
   }
 
@@ -155,48 +155,48 @@
   /** A booking; some callers send it again, at another instance, whatever came of the first. */
   const bookAndRepeat = async (team: string): Promise<void> => {
     const idempotencyKey = `${team}-${nextId}-${random.below(1_000_000)}`
-    const isRepeated = random.next() < REPEAT_SHARE
+    const isRepeated = random.next() < REPEAT_RATIO
     const first = book(team, idempotencyKey)
     if (!isRepeated) {
       await first
       return
     }
     const seeds = options.seeds()
-    const again = newRecord('service', team)
-    again.idempotencyKey = idempotencyKey
-    await send(again, `/v1/services/${SERVICE}/bookings`, { note: idempotencyKey }, { 'idempotency-key': idempotencyKey }, [random.pick(seeds), ...seeds])
+    const repeat = newRecord('service', team)
+    repeat.idempotencyKey = idempotencyKey
+    await send(repeat, `/v1/services/${SERVICE}/bookings`, { note: idempotencyKey }, { 'idempotency-key': idempotencyKey }, [random.pick(seeds), ...seeds])
     await first
   }
-  const arrive = (): void => {
+  const sendArrival = (): void => {
     const team = pickTeam().name
-    if (random.next() < SERVICE_SHARE) {
+    if (random.next() < SERVICE_CALL_RATIO) {
       track(bookAndRepeat(team))
       return
     }
-    const isBurst = random.next() < BURST_SHARE
+    const isBurst = random.next() < BURST_RATIO
     const model = isBurst ? random.pick(MODELS).name : pickModel()
     Array.from({ length: isBurst ? BURST_SIZE : 1 }, () => track(complete(team, model, 'where is my lorry')))
   }
-  const floodOnce = (team: string): void => {
+  const sendFloodCall = (team: string): void => {
     track(complete(team, pickModel(), 'again and again and again'))
   }
-  const run = (meanGapMs: () => number, act: () => void): void => {
+  const scheduleRepeatedly = (meanGapMs: () => number, action: () => void): void => {
     const next = (): void => {
       if (!isRunning) return
-      act()
-      setTimeout(next, random.gap(meanGapMs()))
+      action()
+      setTimeout(next, random.exponential(meanGapMs()))
     }
-    setTimeout(next, random.gap(meanGapMs()))
+    setTimeout(next, random.exponential(meanGapMs()))
   }
 
   return {
     start: () => {
       isRunning = true
-      run(() => 1000 / options.rate, arrive)
+      scheduleRepeatedly(() => 1000 / options.rate, sendArrival)
     },
     stop: () => { isRunning = false },
-    drained: async () => {
-      while (open.size > 0) await Promise.allSettled([...open])
+    waitForOpenCalls: async () => {
+      while (openCalls.size > 0) await Promise.allSettled([...openCalls])
       await agent.destroy()
     },
     flood: (team, factor) => {
@@ -204,16 +204,16 @@
       floods.set(team, factor)
       const { tokensPerSecond } = TEAMS.find(known => known.name === team)!
       const callsPerSecond = tokensPerSecond / MAX_TOKENS * factor
-      run(() => 1000 / callsPerSecond, () => floodOnce(team))
+      scheduleRepeatedly(() => 1000 / callsPerSecond, () => sendFloodCall(team))
     },
     complete: text => track(complete(TEAMS[0]!.name, MODELS[0]!.name, text))
   }
 }
 
-function judge (record: CallRecord, status: number, text: string, body: object): void {
-  if (status !== 200) return judgeTyped(record, text)
+function classifyResponse (record: CallRecord, status: number, text: string, body: object): void {
+  if (status !== 200) return classifyTypedError(record, text)
   const isWhole = record.kind === 'service' ? isWholeService(text, body) : isWholeStream(record, text)
-  if (!isWhole && hasTypedError(text)) return judgeTyped(record, text)
+  if (!isWhole && hasTypedError(text)) return classifyTypedError(record, text)
   record.result = isWhole ? 'whole' : 'wrong'
   if (!isWhole) record.detail = text.slice(0, 300)
 }
@@ -224,14 +224,14 @@
 }
 
 /** A connection that broke: false when nothing can have been sent. */
-function noteBroken (record: CallRecord, code: string, text: string): boolean {
+function classifyConnectionError (record: CallRecord, code: string, text: string): boolean {
   record.detail = code
-  if (NEVER_SENT.has(code)) {
+  if (NOT_SENT_CODES.has(code)) {
     record.result = 'no-connection'
     return false
   }
-  if (hasTypedError(text)) judgeTyped(record, text)
-  else record.result = GIVEN_UP.has(code) ? 'unanswered' : 'cut'
+  if (hasTypedError(text)) classifyTypedError(record, text)
+  else record.result = TIMEOUT_CODES.has(code) ? 'unanswered' : 'cut'
   return true
 }
 
@@ -264,7 +264,7 @@
   not_run?: boolean
 }
 
-function judgeTyped (record: CallRecord, text: string): void {
+function classifyTypedError (record: CallRecord, text: string): void {
   const typed = typedErrorOf(text)
   record.result = typed?.code === undefined ? 'wrong' : 'refused'
   record.code = typed?.code
--- a/scripts/fleet/fleetConfig.ts
+++ b/scripts/fleet/fleetConfig.ts
@@ -5,7 +5,7 @@
   tokensPerSecond: number
   burstTokens: number
   /** Share of the arrivals. */
-  share: number
+  arrivalRatio: number
 }
 
 export interface SiteModel {
@@ -25,11 +25,11 @@
 
 /** Five teams, a few of them large. */
 export const TEAMS: readonly SiteTeam[] = [
-  { name: 'drivers', tokensPerSecond: 900, burstTokens: 3600, share: 0.4 },
-  { name: 'depots', tokensPerSecond: 700, burstTokens: 2800, share: 0.3 },
-  { name: 'merchants', tokensPerSecond: 400, burstTokens: 1600, share: 0.15 },
-  { name: 'yards', tokensPerSecond: 250, burstTokens: 1000, share: 0.1 },
-  { name: 'regulator', tokensPerSecond: 150, burstTokens: 600, share: 0.05 }
+  { name: 'drivers', tokensPerSecond: 900, burstTokens: 3600, arrivalRatio: 0.4 },
+  { name: 'depots', tokensPerSecond: 700, burstTokens: 2800, arrivalRatio: 0.3 },
+  { name: 'merchants', tokensPerSecond: 400, burstTokens: 1600, arrivalRatio: 0.15 },
+  { name: 'yards', tokensPerSecond: 250, burstTokens: 1000, arrivalRatio: 0.1 },
+  { name: 'regulator', tokensPerSecond: 150, burstTokens: 600, arrivalRatio: 0.05 }
 ]
 
 const MODEL_COUNT = 24
--- a/scripts/fleet/processes.ts
+++ b/scripts/fleet/processes.ts
@@ -23,7 +23,7 @@
   readonly operatorAddress: string
   readonly child: ChildProcess
   /** When it was asked to shut down, Unix epoch milliseconds. */
-  askedToEndAtMs?: number
+  shutdownRequestedAtMs?: number
   end?: InstanceEnd
   /** Spans in which the process was stopped. */
   pauses: Array<{ fromMs: number, toMs: number }>
@@ -52,9 +52,9 @@
 
 const PROGRAM = 'dist/magnoliabay.cjs'
 const HOST = '127.0.0.1'
-const READY_POLL_MS = 100
-const READY_WITHIN_MS = 30_000
-const SHUTDOWN_WITHIN_MS = 90_000
+const READY_POLL_INTERVAL_MS = 100
+const READY_TIMEOUT_MS = 30_000
+const SHUTDOWN_TIMEOUT_MS = 90_000
 
 const pause = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms))
 
@@ -82,24 +82,24 @@
       pauses: []
     }
     child.once('exit', () => {
-      instance.end ??= { kind: instance.askedToEndAtMs === undefined ? 'died' : 'shut-down', atMs: Date.now() }
+      instance.end ??= { kind: instance.shutdownRequestedAtMs === undefined ? 'died' : 'shut-down', atMs: Date.now() }
     })
     all.push(instance)
     standIns.list.state.set({ id, role: 'entry', address: instance.entryAddress, failureDomain, region: REGION, status: 'live' })
     return instance
   }
-  const untilReady = async (instance: InstanceProcess): Promise<void> => {
-    const lastMs = Date.now() + READY_WITHIN_MS
-    while (Date.now() < lastMs && instance.end === undefined) {
+  const waitUntilReady = async (instance: InstanceProcess): Promise<void> => {
+    const deadlineMs = Date.now() + READY_TIMEOUT_MS
+    while (Date.now() < deadlineMs && instance.end === undefined) {
       const ready = await request(`http://${instance.entryAddress}/readyz`).then(async res => {
         await res.body.dump()
         return res.statusCode === 200
       }).catch(() => false)
       if (ready) return
-      await pause(READY_POLL_MS)
+      await pause(READY_POLL_INTERVAL_MS)
     }
   }
-  const ended = (instance: InstanceProcess): Promise<void> => new Promise(resolve => {
+  const waitForExit = (instance: InstanceProcess): Promise<void> => new Promise(resolve => {
     if (instance.end !== undefined) return resolve()
     instance.child.once('exit', () => resolve())
   })
@@ -117,19 +117,19 @@
   const shutDown = async (instance: InstanceProcess): Promise<void> => {
     if (instance.end !== undefined) return
     resume(instance)
-    instance.askedToEndAtMs = Date.now()
+    instance.shutdownRequestedAtMs = Date.now()
     standIns.list.state.setStatus(instance.id, 'leaving')
     instance.child.kill('SIGTERM')
-    await Promise.race([ended(instance), pause(SHUTDOWN_WITHIN_MS)])
+    await Promise.race([waitForExit(instance), pause(SHUTDOWN_TIMEOUT_MS)])
     if (instance.end === undefined) await kill(instance)
     standIns.list.state.remove(instance.id)
   }
   return {
     all: () => all,
-    live: () => all.filter(instance => instance.end === undefined && instance.askedToEndAtMs === undefined),
+    live: () => all.filter(instance => instance.end === undefined && instance.shutdownRequestedAtMs === undefined),
     start: async (id, domainIndex) => {
       const instance = await launch(id, domainIndex)
-      await untilReady(instance)
+      await waitUntilReady(instance)
       return instance
     },
     kill,
@@ -140,13 +140,13 @@
     },
     resume,
     stopAll: async () => {
-      const open = all.filter(instance => instance.end === undefined)
-      open.forEach(instance => {
+      const running = all.filter(instance => instance.end === undefined)
+      running.forEach(instance => {
         resume(instance)
         instance.end = { kind: 'killed', atMs: Date.now() }
         instance.child.kill('SIGKILL')
       })
-      await Promise.all(open.map(instance => instance.child.exitCode === null && instance.child.signalCode === null
+      await Promise.all(running.map(instance => instance.child.exitCode === null && instance.child.signalCode === null
         ? new Promise(resolve => instance.child.once('exit', resolve))
         : undefined))
     }
--- a/scripts/fleet/random.ts
+++ b/scripts/fleet/random.ts
@@ -7,7 +7,7 @@
   below (bound: number): number
   pick<T> (items: readonly T[]): T
   /** Exponential gap with this mean. */
-  gap (mean: number): number
+  exponential (mean: number): number
 }
 
 const MULTIPLIER = 0x6d2b79f5
@@ -27,6 +27,6 @@
     next,
     below,
     pick: items => items[below(items.length)]!,
-    gap: mean => -Math.log(1 - next()) * mean
+    exponential: mean => -Math.log(1 - next()) * mean
   }
 }
--- a/scripts/fleet/records.ts
+++ b/scripts/fleet/records.ts
@@ -28,12 +28,12 @@
 }
 
 /** Models held by an engine at one moment, read from the engine itself. */
-export interface HeldSample {
+export interface EngineSample {
   atMs: number
   engine: string
   loaded: readonly string[]
   /** Loading, loaded or unloading. */
-  held: readonly string[]
+  models: readonly string[]
   running: number
 }
 
@@ -54,19 +54,19 @@
   atMs: number
 }
 
-export interface Leaving {
+export interface LeavingEngine {
   id: string
   atMs: number
 }
 
 export interface Observations {
   calls: CallRecord[]
-  held: HeldSample[]
+  engineSamples: EngineSample[]
   probes: ConfigProbe[]
   withdrawals: Withdrawal[]
-  leavings: Leaving[]
+  leavingEngines: LeavingEngine[]
 }
 
 export function createObservations (): Observations {
-  return { calls: [], held: [], probes: [], withdrawals: [], leavings: [] }
+  return { calls: [], engineSamples: [], probes: [], withdrawals: [], leavingEngines: [] }
 }
--- a/scripts/fleet/report.ts
+++ b/scripts/fleet/report.ts
@@ -15,7 +15,7 @@
   points: ReadonlyArray<{ atSeconds: number, firstByteMs: number, result: CallRecord['result'] }>
 }
 
-const SHOWN_VIOLATIONS = 3
+const MAX_SHOWN_VIOLATIONS = 3
 
 export function formatRuns (runs: readonly FaultRun[]): string {
   const promises = runs[0]?.verdicts.map(verdict => verdict.promise) ?? []
@@ -25,7 +25,7 @@
     return `${promise.padEnd(width)} ${cells.map((cell, index) => cell.padStart(Math.max(9, runs[index]!.fault.name.length + 1))).join('')}`
   })
   const head = `${'promise: violations/checked'.padEnd(width)} ${runs.map(run => run.fault.name.padStart(Math.max(9, run.fault.name.length + 1))).join('')}`
-  const violations = runs.flatMap(run => run.verdicts.flatMap(verdict => verdict.violations.slice(0, SHOWN_VIOLATIONS)
+  const violations = runs.flatMap(run => run.verdicts.flatMap(verdict => verdict.violations.slice(0, MAX_SHOWN_VIOLATIONS)
     .map(violation => `  ${run.fault.name} (seed ${run.seed}): ${verdict.promise}: ${violation}`)))
   const measures = runs.map(run => `  ${run.fault.name.padEnd(20)} ${formatMeasures(run.measures)}`)
   return [head, ...table, '', 'violations:', ...(violations.length === 0 ? ['  none'] : violations), '', 'measures:', ...measures].join('\n')
@@ -62,7 +62,7 @@
   const rows = promises.map((promise, row) => `<tr><td>${escape(promise)}</td>${runs.map(run => {
     const verdict = run.verdicts[row]!
     const kind = verdict.violations.length > 0 ? 'bad' : 'good'
-    return `<td class="${kind}" title="${escape(verdict.violations.slice(0, SHOWN_VIOLATIONS).join('\n'))}">${cellOf(verdict)}</td>`
+    return `<td class="${kind}" title="${escape(verdict.violations.slice(0, MAX_SHOWN_VIOLATIONS).join('\n'))}">${cellOf(verdict)}</td>`
   }).join('')}</tr>`)
   const plots = runs.map(run => `<h3>${escape(run.fault.name)}: ${escape(run.fault.what)}</h3>${plot(run)}<p>${escape(formatMeasures(run.measures))}</p>`)
   return `<!doctype html><meta charset="utf-8"><title>fleet check</title>
--- a/scripts/reference/docs.ts
+++ b/scripts/reference/docs.ts
@@ -24,10 +24,10 @@
   const walkProperty = (property: ts.ObjectLiteralElementLike, path: string): void => {
     if (ts.isSpreadAssignment(property)) return walk(property.expression, path)
     const name = property.name?.getText() ?? ''
-    const full = path === '' ? name : `${path}.${name}`
+    const fullPath = path === '' ? name : `${path}.${name}`
     const text = ts.getJSDocCommentsAndTags(property).map(doc => ts.isJSDoc(doc) ? ts.getTextOfJSDocComment(doc.comment) ?? '' : '').join(' ').trim()
-    if (text !== '') docs.set(full, text)
-    if (ts.isPropertyAssignment(property)) walk(property.initializer, full)
+    if (text !== '') docs.set(fullPath, text)
+    if (ts.isPropertyAssignment(property)) walk(property.initializer, fullPath)
   }
   walk(declared.get(schema), '')
   return docs
--- a/scripts/judgeTests.ts
+++ b/scripts/testReport.ts
@@ -16,7 +16,7 @@
   isGood: boolean
 }
 
-const MOST_KNOWN_RED = 3
+const MAX_KNOWN_RED = 3
 
 /** `knownRed` has one line for each test: its full title, ` | `, the cause, ` | `, the issue. */
 export function checkTestReport (report: TestReport, knownRed: string): TestReportResult {
@@ -26,7 +26,7 @@
   const failed = new Set(report.failures.map(test => test.fullTitle))
   // A test that passes again, or was renamed, must leave the list: its line would hide the next failure.
   const stale = entries.filter(entry => !failed.has(entry.title))
-  const tooMany = entries.length > MOST_KNOWN_RED ? [`KNOWN-RED.txt holds ${entries.length} lines; ${MOST_KNOWN_RED} are allowed`] : []
+  const tooMany = entries.length > MAX_KNOWN_RED ? [`KNOWN-RED.txt holds ${entries.length} lines; ${MAX_KNOWN_RED} are allowed`] : []
   // A run that stopped before its first test has no failures either.
   const nothingRan = report.stats.passes === 0 ? ['no test passed'] : []
   return {
