--- a/bench/allowance/index.ts
+++ b/bench/allowance/index.ts
@@ -47,7 +47,7 @@
     sum(outcome => outcome.refused),
     share(sum(outcome => outcome.wrongful), requests),
     share(sum(outcome => outcome.wrongfulWithinRate), sum(outcome => outcome.withinRate)),
-    `${(100 * sum(outcome => outcome.floodPart) / outcomes.length).toFixed(1)} %`,
+    `${(100 * sum(outcome => outcome.floodRatio) / outcomes.length).toFixed(1)} %`,
     most(outcome => outcome.overspend).toFixed(3),
     sum(outcome => outcome.storeCalls),
     sum(outcome => outcome.peerMessages),
--- a/bench/allowance/policies.ts
+++ b/bench/allowance/policies.ts
@@ -69,10 +69,10 @@
 
 /** Every instance has an equal part for good; nobody asks anybody. */
 function createStaticSplit (clock: BenchClock): Policy {
-  const parts = new Map(TEAMS.map(team => [team.name, Array.from({ length: INSTANCES }, () => fullShare(team, TOTAL_UNITS / INSTANCES))]))
+  const sharesByTeam = new Map(TEAMS.map(team => [team.name, Array.from({ length: INSTANCES }, () => fullShare(team, TOTAL_UNITS / INSTANCES))]))
   return {
     reserve: async ({ team, instance, reserved }) => {
-      const share = parts.get(team.name)![instance]!
+      const share = sharesByTeam.get(team.name)![instance]!
       const ticket = share.take(reserved, clock.monotonic())
       return ticket === undefined ? undefined : used => share.settle(ticket, used, clock.monotonic())
     },
--- a/bench/allowance/workload.ts
+++ b/bench/allowance/workload.ts
@@ -17,7 +17,7 @@
   instance: number
   reserved: number
   used: number
-  lastsMs: number
+  durationMs: number
 }
 
 export const INSTANCES = 9
@@ -30,11 +30,11 @@
   { name: 'yard', rate: 500, burst: 8000, load: 0.6, meanTokens: 300 }
 ]
 
-const SHIFT_MS = 20_000
+const SHIFT_INTERVAL_MS = 20_000
 /** Parts of a team's requests at the instances, greatest first. */
-const UNEVEN = [0.4, 0.2, 0.12, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02]
-const MEAN_USED_PART = 0.6
-const MEAN_LASTS_MS = 2000
+const INSTANCE_RATIOS = [0.4, 0.2, 0.12, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02]
+const MEAN_USED_RATIO = 0.6
+const MEAN_DURATION_MS = 2000
 
 export function createWorkload (seed: number, durationMs: number): readonly Arrival[] {
   const all = TEAMS.flatMap((team, index) => arrivalsOf(team, seed * 100 + index, durationMs))
@@ -43,25 +43,25 @@
 
 function arrivalsOf (team: BenchTeam, seed: number, durationMs: number): Arrival[] {
   const random = createRandom(seed)
-  const gapMs = team.meanTokens * MEAN_USED_PART / (team.rate * team.load) * 1000
+  const gapMs = team.meanTokens * MEAN_USED_RATIO / (team.rate * team.load) * 1000
   const arrivals: Arrival[] = []
   let order = shuffled(random)
-  let shiftAtMs = SHIFT_MS
+  let shiftAtMs = SHIFT_INTERVAL_MS
   for (let atMs = exponential(random, gapMs); atMs < durationMs; atMs += exponential(random, gapMs)) {
     if (atMs > shiftAtMs) {
       order = shuffled(random)
-      shiftAtMs += SHIFT_MS
+      shiftAtMs += SHIFT_INTERVAL_MS
     }
     const reserved = Math.ceil(team.meanTokens * (0.5 + random()))
-    const used = Math.ceil(reserved * (MEAN_USED_PART - 0.4 + 0.8 * random()))
-    arrivals.push({ atMs, team, instance: order[pick(random)]!, reserved, used, lastsMs: exponential(random, MEAN_LASTS_MS) })
+    const used = Math.ceil(reserved * (MEAN_USED_RATIO - 0.4 + 0.8 * random()))
+    arrivals.push({ atMs, team, instance: order[pickPosition(random)]!, reserved, used, durationMs: exponential(random, MEAN_DURATION_MS) })
   }
   return arrivals
 }
 
-function pick (random: () => number): number {
+function pickPosition (random: () => number): number {
   let left = random()
-  const index = UNEVEN.findIndex(part => {
+  const index = INSTANCE_RATIOS.findIndex(part => {
     left -= part
     return left < 0
   })
--- a/bench/capacity/sample.ts
+++ b/bench/capacity/sample.ts
@@ -30,17 +30,17 @@
   return Number(new RegExp(`${label}\\s+(\\d+)`).exec(text)?.[1] ?? 0)
 }
 
-export interface Use {
+export interface ResourceUse {
   /** Share of one core. */
-  core: number
+  coreRatio: number
   rssMiB: number
   bytesPerSecond: number
 }
 
-export function useBetween (before: ProcessSample, after: ProcessSample): Use {
+export function resourceUseBetween (before: ProcessSample, after: ProcessSample): ResourceUse {
   const seconds = (after.atMs - before.atMs) / 1000
   return {
-    core: (after.cpuMs - before.cpuMs) / 1000 / seconds,
+    coreRatio: (after.cpuMs - before.cpuMs) / 1000 / seconds,
     rssMiB: after.rssMiB,
     bytesPerSecond: (after.bytes - before.bytes) / seconds
   }
--- a/bench/cold/engineSimulation.ts
+++ b/bench/cold/engineSimulation.ts
@@ -6,7 +6,7 @@
 import { ENGINE_MIB, FULL_SPEED_LOADS } from './workload'
 import type { Workload } from './workload'
 
-export interface Fakes {
+export interface EngineSimulation {
   clock: VirtualClock
   weights: WeightStore
   engines: readonly EngineStandIn[]
@@ -16,7 +16,7 @@
   order (engine: EngineStandIn, action: 'load' | 'unload', model: string): Promise<boolean>
 }
 
-export function createFakes (workload: Workload): Fakes {
+export function createEngineSimulation (workload: Workload): EngineSimulation {
   const clock = createFastClock()
   const weights = createWeightStore({ clock, loadsPerSecond: workload.site.loadsPerSecond, fullSpeedLoads: FULL_SPEED_LOADS })
   const engines = Array.from({ length: workload.site.engines }, (_, index) => createEngineStandIn({
--- a/bench/config/figures.ts
+++ b/bench/config/figures.ts
@@ -23,11 +23,11 @@
   }))
 }
 
-export function percentile (values: readonly number[], share: number): number {
+export function percentile (values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((left, right) => left - right)
-  return sorted[Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)]!
+  return sorted[Math.min(sorted.length - 1, Math.ceil(fraction * sorted.length) - 1)]!
 }
 
-export function formatFigures (lines: readonly string[][]): string {
+export function formatTable (lines: readonly string[][]): string {
   return ['| what | unit | measured | to reach |', '|---|---|---|---|', ...lines.map(line => `| ${line.join(' | ')} |`)].join('\n')
 }
--- a/bench/decusum/policies.ts
+++ b/bench/decusum/policies.ts
@@ -19,7 +19,7 @@
   return () => slot++ % period === 0
 }
 
-export function byCoin (probability: number, random: () => number): Schedule {
+export function withProbability (probability: number, random: () => number): Schedule {
   return () => random() < probability
 }
 
@@ -64,17 +64,17 @@
   schedule: Schedule
   deadlineMs: number
   /** Late probes in a row that raise the alarm. */
-  inARow: number
+  consecutive: number
 }
 
-export function createDeadline ({ schedule, deadlineMs, inARow }: DeadlineOptions): Detector {
+export function createDeadline ({ schedule, deadlineMs, consecutive }: DeadlineOptions): Detector {
   let late = 0
   return {
     wantsProbe: schedule,
     observe: latencyMs => {
       if (latencyMs === undefined) return false
       late = latencyMs > deadlineMs ? late + 1 : 0
-      return late >= inARow
+      return late >= consecutive
     }
   }
 }
--- a/bench/relay/entryProcess.ts
+++ b/bench/relay/entryProcess.ts
@@ -11,7 +11,7 @@
 import { createMetrics } from '../../packages/magnoliabay/src/node/metrics'
 import { Ok } from '../../packages/magnoliabay/src/node/result'
 
-interface Start {
+interface StartMessage {
   entryPort: number
   engines: readonly string[]
 }
@@ -21,14 +21,14 @@
   rss: number
 }
 
-async function start ({ entryPort, engines }: Start): Promise<void> {
+async function start ({ entryPort, engines }: StartMessage): Promise<void> {
   const clock = createSystemClock()
   const address = (port: number): string => `127.0.0.1:${port}`
   const settings = resolveSettings({
     instance: { id: 'bench', site: 's', region: 'r', failureDomain: 'z', entryAddress: address(entryPort), peerAddress: address(1), operatorAddress: address(2) },
     platform: { store: ['http://127.0.0.1:1'], instanceList: 'http://127.0.0.1:1/' }
   })
-  let turn = 0
+  let acquiredCount = 0
   const entry = createEntryServer({
     settings,
     cfg: { model: () => ({}), adapter: () => undefined, team: () => ({ allow: ['*'] }), service: () => undefined },
@@ -39,8 +39,8 @@
     routing: {
       inFlight: () => 0,
       acquireReplica: async () => {
-        turn += 1
-        return Ok({ replica: { engine: 'e', address: engines[turn % engines.length]! }, release: () => {} })
+        acquiredCount += 1
+        return Ok({ replica: { engine: 'e', address: engines[acquiredCount % engines.length]! }, release: () => {} })
       }
     },
     directory: { services: () => [] },
@@ -63,7 +63,7 @@
   return { cpuMicros: user + system, rss: process.memoryUsage().rss }
 }
 
-process.on('message', (message: Start | 'usage') => {
+process.on('message', (message: StartMessage | 'usage') => {
   if (message === 'usage') process.send?.(usage())
   else start(message).catch(() => process.exit(1))
 })
--- a/bench/relay/index.ts
+++ b/bench/relay/index.ts
@@ -8,7 +8,7 @@
 import type { AddressInfo } from 'node:net'
 import { fileURLToPath } from 'node:url'
 import { runLoad } from './load'
-import type { LoadOptions, Measured } from './load'
+import type { LoadOptions, LoadResult } from './load'
 import type { Usage } from './entryProcess'
 import { runWrites } from './writes'
 
@@ -47,28 +47,28 @@
   return await answer
 }
 
-const ms = (micros: number): string => (micros / 1000).toFixed(2)
+const formatMs = (micros: number): string => (micros / 1000).toFixed(2)
 
-function added (via: Measured, direct: Measured, which: 'firstToken' | 'perChunk', percentile: number): string {
-  return ms(via[which].getValueAtPercentile(percentile) - direct[which].getValueAtPercentile(percentile))
+function formatAdded (via: LoadResult, direct: LoadResult, metric: 'firstToken' | 'perChunk', percentile: number): string {
+  return formatMs(via[metric].getValueAtPercentile(percentile) - direct[metric].getValueAtPercentile(percentile))
 }
 
 async function runRound (round: Round, engines: readonly string[], entryAddress: string, entry: ChildProcess): Promise<string> {
   const direct = await runLoad({ ...round, addresses: engines })
   const before = await usageOf(entry)
-  let whenOpen = before
-  const via = await runLoad({ ...round, addresses: [entryAddress] }, async () => { whenOpen = await usageOf(entry) })
+  let usageWhileOpen = before
+  const via = await runLoad({ ...round, addresses: [entryAddress] }, async () => { usageWhileOpen = await usageOf(entry) })
   const after = await usageOf(entry)
   const cpuSeconds = (after.cpuMicros - before.cpuMicros) / 1e6
-  const kibPerStream = (whenOpen.rss - before.rss) / BYTES_PER_KIB / round.streams
+  const kibPerStream = (usageWhileOpen.rss - before.rss) / BYTES_PER_KIB / round.streams
   const cells = [
     round.streams,
     Math.round(round.streams * 1000 / round.intervalMs),
-    `${ms(direct.firstToken.getValueAtPercentile(95))} / ${ms(via.firstToken.getValueAtPercentile(95))}`,
-    added(via, direct, 'firstToken', 50),
-    added(via, direct, 'firstToken', 95),
-    added(via, direct, 'perChunk', 50),
-    added(via, direct, 'perChunk', 95),
+    `${formatMs(direct.firstToken.getValueAtPercentile(95))} / ${formatMs(via.firstToken.getValueAtPercentile(95))}`,
+    formatAdded(via, direct, 'firstToken', 50),
+    formatAdded(via, direct, 'firstToken', 95),
+    formatAdded(via, direct, 'perChunk', 50),
+    formatAdded(via, direct, 'perChunk', 95),
     Math.round(via.chunks / cpuSeconds),
     round.streams < 100 ? '' : Math.round(kibPerStream),
     via.broken + direct.broken
