--- a/scripts/binary.ts
+++ b/scripts/binary.ts
@@ -1,4 +1,4 @@
-/** Builds the one binary: a copy of Node with the bundle inside (single executable application). */
+/** Builds the single executable application: a copy of Node that contains the bundle. */
 import { execFileSync } from 'node:child_process'
 import { chmodSync, copyFileSync, writeFileSync } from 'node:fs'
 
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -1,4 +1,4 @@
-/** Bundles the program, and the demo, each into one file. */
+/** Bundles the program and the demo into one file each. */
 import { bundle } from './bundle'
 
 await bundle('packages/magnoliabay/src/node/bin.ts', 'dist/magnoliabay.cjs')
--- a/scripts/bundle.ts
+++ b/scripts/bundle.ts
@@ -1,4 +1,4 @@
-/** Makes one file of a program and all that it imports. */
+/** Bundles a program and all its imports into one file. */
 import { build } from 'esbuild'
 
 export async function bundle (entry: string, outfile: string): Promise<void> {
@@ -9,7 +9,7 @@
     platform: 'node',
     target: 'node20',
     format: 'cjs',
-    // Without `module` first, ts-results comes as UMD and looks for tslib at run time.
+    // Unless `module` comes first, ts-results resolves to its UMD build, which requires tslib at run time.
     mainFields: ['module', 'main'],
     logOverride: { 'import-is-undefined': 'silent' },
     logLevel: 'warning'
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The main job against the embedded default, over real HTTP: every step is checked, and the program
- * ends with 0 only if every check held.
+ * Exercises the main use cases against the embedded fleet over real HTTP. Every step is checked, and the program
+ * exits with code 0 only if every check passes.
  */
 import { request } from 'undici'
 import { startEmbeddedFleet } from '../packages/magnoliabay/src/node/commands/embedded'
@@ -40,13 +40,13 @@
   const located = await call(`${entries[0]}/v1/locate?model=${models[0]}`, callerKey)
   const { addresses } = JSON.parse(located.text) as { addresses: Array<{ address: string, failure_domain: string }> }
   const domains = new Set(addresses.map(address => address.failure_domain))
-  check('locate names entries in different failure domains', addresses.length === domains.size && domains.size > 1, addresses.map(address => address.address).join(', '))
+  check('locate returns entry instances in different failure domains', addresses.length === domains.size && domains.size > 1, addresses.map(address => address.address).join(', '))
 
   const body = { model: models[0], stream: true, max_tokens: 16, messages: [{ role: 'user', content: 'where is my lorry' }] }
   const burst = entries.flatMap(entry => Array.from({ length: BURST_PER_ENTRY }, () => call(`${entry}/v1/chat/completions`, callerKey, body)))
   const responses = await Promise.all(burst)
   const incomplete = responses.find(answer => !isComplete(answer))
-  check('a burst for a cold model is answered whole at every entry', incomplete === undefined, `${responses.filter(isComplete).length} of ${responses.length} ${incomplete?.text ?? ''}`)
+  check('every entry instance completes all requests of a burst for a cold model', incomplete === undefined, `${responses.filter(isComplete).length} of ${responses.length} ${incomplete?.text ?? ''}`)
   const loaded = standIns.engines.flatMap(engine => engine.state.state().models.filter(model => model.model === models[0]))
   check('the model was loaded once', loaded.length === 1, `${loaded.length} replica(s)`)
 }
@@ -57,8 +57,8 @@
   const first = await call(`${entries[0]}/v1/services/${EMBEDDED_SERVICE}/transfer-notes`, callerKey, note, headers)
   const second = await call(`${entries[1]}/v1/services/${EMBEDDED_SERVICE}/transfer-notes`, callerKey, note, headers)
   const ran = standIns.services[0]!.state.total()
-  check('a repeated transfer note runs once', ran === 1 && first.status === 200, `ran ${ran} time(s)`)
-  check('the repeat gets the same answer at another instance', first.text === second.text, second.text.slice(0, 60))
+  check('a repeated transfer note is executed once', ran === 1 && first.status === 200, `executed ${ran} time(s)`)
+  check('a repeat at another instance returns the same response', first.text === second.text, second.text.slice(0, 60))
 }
 
 async function checkOverAllowance ({ entryUrls: entries, operatorClient: operators, models }: EmbeddedFleet): Promise<void> {
@@ -66,7 +66,7 @@
   await pause(KEY_PROPAGATION_DELAY_MS)
   const body = { model: models[0], max_tokens: 5000, messages: [{ role: 'user', content: 'everything, please' }] }
   const response = await call(`${entries[0]}/v1/chat/completions`, key, body)
-  check('a request over the allowance is refused, not run', response.status === 429 && response.text.includes('"not_run":true'), codeOf(response))
+  check('a request that exceeds the allowance is refused without being run', response.status === 429 && response.text.includes('"not_run":true'), codeOf(response))
 }
 
 async function checkWithdrawnKey ({ entryUrls: entries, callerKey, callerKeyId, operatorClient: operators, models }: EmbeddedFleet): Promise<void> {
@@ -74,12 +74,12 @@
   await pause(KEY_PROPAGATION_DELAY_MS)
   const body = { model: models[0], messages: [{ role: 'user', content: 'let me in' }] }
   const responses = await Promise.all(entries.map(entry => call(`${entry}/v1/chat/completions`, callerKey, body)))
-  check('a withdrawn key works nowhere', responses.every(answer => answer.status === 401), responses.map(codeOf).join(', '))
+  check('a withdrawn key is refused at every instance', responses.every(answer => answer.status === 401), responses.map(codeOf).join(', '))
 }
 
 function checkKeyNotForwarded ({ standIns, callerKey }: EmbeddedFleet): void {
   const engineRecords = JSON.stringify(standIns.engines.flatMap(engine => engine.state.records()))
-  check('no backend server saw the key', !engineRecords.includes(callerKey), `${standIns.engines.length} engines`)
+  check('no backend server receives the key of the caller', !engineRecords.includes(callerKey), `${standIns.engines.length} engines`)
 }
 
 async function main (): Promise<void> {
@@ -90,7 +90,7 @@
   await checkWithdrawnKey(embedded)
   checkKeyNotForwarded(embedded)
   await embedded.close()
-  process.stdout.write(failures === 0 ? 'demo: every check held\n' : `demo: ${failures} check(s) failed\n`)
+  process.stdout.write(failures === 0 ? 'demo: all checks passed\n' : `demo: ${failures} check(s) failed\n`)
   process.exit(failures === 0 ? 0 : 1)
 }
 
--- a/scripts/docLinks.ts
+++ b/scripts/docLinks.ts
@@ -1,4 +1,4 @@
-/** Finds links in the documents whose file or heading is not there. */
+/** Finds links in the documents whose target file or heading does not exist. */
 import { existsSync, readFileSync, readdirSync } from 'node:fs'
 import { dirname, join, relative } from 'node:path'
 
@@ -12,7 +12,7 @@
   target: string
 }
 
-/** Every Markdown file under `root`. */
+/** Returns every Markdown file under `root`. */
 export function findDocuments (root: string): string[] {
   return readdirSync(root, { withFileTypes: true }).flatMap(entry => {
     const path = join(root, entry.name)
@@ -21,7 +21,7 @@
   })
 }
 
-/** Links to other places than files of the repository are left alone. */
+/** Returns the links to missing files or headings; links with a URL scheme are not checked. */
 export function findBrokenLinks (root: string): BrokenLink[] {
   return findDocuments(root).flatMap(file => {
     const targets = [...readFileSync(file, 'utf8').replace(CODE_BLOCK, '').matchAll(LINK)].map(match => match[1]!)
--- a/scripts/fleet.ts
+++ b/scripts/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The fleet as real processes, under load and faults, judged by the brief's eleven promises.
+ * Runs a fleet of real processes under load and faults, and checks the eleven guarantees of the brief.
  * `npm run fleet -- --faults kill,store-down --instances 9 --rate 40 --seed 1`
  */
 import { parseArgs } from 'node:util'
@@ -16,10 +16,10 @@
   instances: { type: 'string', default: '9' },
   rate: { type: 'string', default: '30' },
   seed: { type: 'string', default: '1' },
-  /** Seconds of load before and after the fault. */
+  /** Load before and after the fault, in seconds. */
   around: { type: 'string', default: '6' },
   out: { type: 'string', default: 'dist/fleet' },
-  /** Judge only what needs no clock: for CI. */
+  /** Counts only checks that do not depend on timing, for CI. */
   safety: { type: 'boolean', default: false }
 } as const
 
@@ -66,7 +66,7 @@
   const { values } = parseArgs({ options: OPTIONS })
   const selected = values.faults === 'all' ? FAULTS : FAULTS.filter(fault => values.faults.split(',').includes(fault.name))
   if (selected.length === 0) {
-    process.stderr.write(`Say which faults: ${FAULTS.map(fault => fault.name).join(', ')}, or all\n`)
+    process.stderr.write(`unknown value of --faults; expected all, or a list of: ${FAULTS.map(fault => fault.name).join(', ')}\n`)
     process.exit(2)
   }
   const options: RunOptions = {
@@ -80,7 +80,7 @@
   for (const fault of selected) {
     runs.push(await runFault(fault, options))
     writeReports(options.out, runs)
-    process.stdout.write(`${fault.name}: done in ${Math.round(runs.at(-1)!.tookMs / 1000)} s\n`)
+    process.stdout.write(`${fault.name}: completed in ${Math.round(runs.at(-1)!.tookMs / 1000)} s\n`)
   }
   process.stdout.write(`\n${formatRuns(runs)}\n`)
   const verdicts = runs.flatMap(run => run.verdicts).filter(verdict => !values.safety || verdict.isSafety)
--- a/scripts/fleet/callers.ts
+++ b/scripts/fleet/callers.ts
@@ -1,4 +1,4 @@
-/** Open-loop callers: they ask which entry instance to use, keep the answer, connect there, and record what came. */
+/** Open-loop callers: they look up entry instances, cache the result, send calls there and record the outcomes. */
 import { Agent, request } from 'undici'
 import { expectedText, serviceAnswer } from '@magnoliabay/standins'
 import { messageOf } from '../../packages/magnoliabay/src/node/utils'
@@ -15,23 +15,23 @@
 export interface CallersOptions {
   random: Random
   observations: Observations
-  /** Entry addresses that callers know from the start. */
+  /** Entry addresses that callers know in advance. */
   seeds: () => readonly string[]
   instanceAt: (address: string) => string
   keyOf: (team: string) => TeamKey
-  /** Arrivals a second. */
+  /** Arrivals per second. */
   rate: number
 }
 
 export interface Callers {
-  /** Sends arrivals until `stop`. */
+  /** Sends calls until `stop`. */
   start (): void
   stop (): void
   /** Resolves when every call has ended. */
   waitForOpenCalls (): Promise<void>
-  /** A team sends this many times its rate. */
+  /** Makes a team send `factor` times its rate. */
   flood (team: string, factor: number): void
-  /** Sends one completion whose prompt holds `text`. */
+  /** Sends one completion whose prompt contains `text`. */
   complete (text: string): Promise<CallRecord>
 }
 
@@ -41,7 +41,7 @@
 }
 
 const CALL_DEADLINE_MS = 15_000
-/** Well after the deadline: a caller that hears nothing until then was dropped. */
+/** Well after the deadline: a call without a response until then counts as unanswered. */
 const CLIENT_TIMEOUT_MS = 25_000
 const MAX_TOKENS = 32
 const SERVICE_CALL_RATIO = 0.12
@@ -101,7 +101,7 @@
     }
   }
 
-  /** Sends to the first address that takes the connection; nothing was sent to the others. */
+  /** Sends to the first address that accepts the connection; nothing is sent to the others. */
   const send = async (record: CallRecord, path: string, body: object, headers: Record<string, string>, addresses: readonly string[]): Promise<CallRecord> => {
     for (const address of addresses) {
       record.instance = options.instanceAt(address)
@@ -152,7 +152,7 @@
     record.idempotencyKey = idempotencyKey
     return await send(record, `/v1/services/${SERVICE}/bookings`, { note: idempotencyKey }, { 'idempotency-key': idempotencyKey }, await locate(team, record.key))
   }
-  /** A booking; some callers send it again, at another instance, whatever came of the first. */
+  /** Sends a booking; some callers repeat it at a random instance, regardless of the outcome of the first call. */
   const bookAndRepeat = async (team: string): Promise<void> => {
     const idempotencyKey = `${team}-${nextId}-${random.below(1_000_000)}`
     const isRepeated = random.next() < REPEAT_RATIO
@@ -223,7 +223,7 @@
   return text === JSON.stringify(expected)
 }
 
-/** A connection that broke: false when nothing can have been sent. */
+/** Records a connection error. Returns false if nothing can have been sent. */
 function classifyConnectionError (record: CallRecord, code: string, text: string): boolean {
   record.detail = code
   if (NOT_SENT_CODES.has(code)) {
@@ -272,7 +272,7 @@
   if (record.result === 'wrong') record.detail = text.slice(0, 300)
 }
 
-/** The typed failure: a whole JSON body, or the data of a stream's error event. */
+/** Parses the typed error, from the JSON body or from the error event of a stream. */
 function typedErrorOf (text: string): TypedError | undefined {
   const event = text.split('\n\n').map(parseEvent).find(candidate => candidate.name === 'error')
   try {
--- a/scripts/fleet/faults.ts
+++ b/scripts/fleet/faults.ts
@@ -1,4 +1,4 @@
-/** The faults that a run goes through, by name. Each begins while callers call, and is over when `run` resolves. */
+/** The faults of a run, by name. Each starts while callers send calls, and has ended when `run` resolves. */
 import type { Harness } from './harness'
 
 export interface Fault {
@@ -35,14 +35,14 @@
   await pause(2000)
 }
 
-/** The instance that holds most in the store's own eyes: a key whose value names it. */
+/** Returns an instance that leads a cell according to the store; a random one if none does. */
 const findCellLeader = (harness: Harness): ReturnType<Harness['processes']['live']>[number] => {
   const entries = harness.standIns.kv.state.range({ key: '/magnoliabay/cells/', end: '/magnoliabay/cells0' })
   const leader = harness.processes.live().find(instance => entries.some(entry => entry.key.endsWith('/steward') && entry.value.includes(`"${instance.id}"`)))
   return leader ?? harness.random.pick(harness.processes.live())
 }
 
-/** A fault that is switched on, stays for a while, and is switched off. */
+/** Creates a fault that lasts for `ms` milliseconds. */
 const temporaryFault = (name: string, what: string, ms: number, setFault: (harness: Harness, isOn: boolean) => Promise<void>): Fault => ({
   name,
   what,
@@ -71,7 +71,7 @@
   { name: 'kill', what: 'an instance is killed and replaced', run: killInstance },
   {
     name: 'kill-steward',
-    what: 'the steward of a cell is killed and replaced',
+    what: 'the leader of a cell is killed and replaced',
     run: async harness => {
       await harness.processes.kill(findCellLeader(harness))
       await pause(2000)
@@ -80,7 +80,7 @@
   },
   {
     name: 'pause-steward',
-    what: `the steward of a cell is stopped for ${PAUSE_MS / 1000} s, past its lease`,
+    what: `the leader of a cell is paused for ${PAUSE_MS / 1000} s, longer than its lease`,
     run: async harness => {
       const instance = findCellLeader(harness)
       harness.processes.pause(instance)
@@ -90,33 +90,33 @@
     }
   },
   { name: 'store-down', what: `the store refuses connections for ${STORE_DOWN_MS / 1000} s`, run: takeStoreDown },
-  temporaryFault('store-slow', 'every call of the store takes 800 ms longer', 8000,
+  temporaryFault('store-slow', 'every store call takes 800 ms longer', 8000,
     (harness, isOn) => harness.standIns.kv.faults.set({ slowMs: isOn ? 800 : 0 })),
-  temporaryFault('store-loses-answers', 'writes take effect, answers are lost', 6000,
+  temporaryFault('store-loses-answers', 'store writes take effect, but their responses are lost', 6000,
     (harness, isOn) => harness.standIns.kv.faults.set({ loseAnswers: isOn })),
   {
     name: 'watches-silent',
-    what: 'open watches go silent for good; the configuration changes',
+    what: 'open watches stop delivering events permanently; the configuration changes',
     run: async harness => {
       await harness.standIns.kv.faults.set({ watchSilent: true })
       await harness.probeConfig()
     }
   },
-  { name: 'engine-crash', what: 'an engine dies and starts anew', run: crashEngine },
+  { name: 'engine-crash', what: 'an engine crashes and restarts', run: crashEngine },
   {
     name: 'engine-dead',
-    what: 'the busiest engine dies for good, and the list goes on saying that it lives',
+    what: 'the busiest engine crashes permanently, and the instance list still reports it as live',
     run: async harness => {
       const [busiestEngine] = [...harness.standIns.engines].sort((left, right) => requestCountOf(right) - requestCountOf(left))
       await busiestEngine!.state.faults.set({ crash: true })
       await pause(10_000)
     }
   },
-  engineFault('engine-silent', 'connections to an engine go silent for good', { silentConnections: true }, { silentConnections: false }),
+  engineFault('engine-silent', 'connections to an engine stop responding permanently', { silentConnections: true }, { silentConnections: false }),
   engineFault('engine-stall', 'an engine stops sending tokens', { stall: true }, { stall: false }),
-  engineFault('engine-crossed', 'an engine answers other requests', { crossedAnswers: true }, { crossedAnswers: false }),
-  engineFault('engine-cut', 'an engine breaks off before the end of each answer', { dieBeforeEnd: true }, { dieBeforeEnd: false }),
-  engineFault('orders-late', 'an engine answers orders late', { orderAnswer: 'late' }, { orderAnswer: 'normal' }),
+  engineFault('engine-crossed', 'an engine sends the responses of other requests', { crossedAnswers: true }, { crossedAnswers: false }),
+  engineFault('engine-cut', 'an engine closes the connection before the end of each response', { dieBeforeEnd: true }, { dieBeforeEnd: false }),
+  engineFault('orders-late', 'an engine responds late to orders', { orderAnswer: 'late' }, { orderAnswer: 'normal' }),
   {
     name: 'engine-leaves',
     what: 'an engine leaves',
@@ -125,7 +125,7 @@
       await pause(10_000)
     }
   },
-  temporaryFault('list-wrong', 'the instance list leaves one out', 6000,
+  temporaryFault('list-wrong', 'the instance list omits one instance', 6000,
     (harness, isOn) => harness.standIns.list.state.faults.set({ missesOne: isOn })),
   temporaryFault('weights-slow', 'the weight store is ten times slower', 8000,
     (harness, isOn) => harness.standIns.weights.faults.set({ slowdown: isOn ? 10 : 1 })),
@@ -170,7 +170,7 @@
   },
   {
     name: 'store-down+kill',
-    what: 'the store is down, and an instance dies meanwhile',
+    what: 'an instance is killed while the store is down',
     run: async harness => {
       const down = takeStoreDown(harness)
       await pause(1500)
@@ -180,7 +180,7 @@
   },
   {
     name: 'engine-crash+pause',
-    what: 'a steward is stopped, and an engine dies meanwhile',
+    what: 'an engine crashes while a cell leader is paused',
     run: async harness => {
       const instance = findCellLeader(harness)
       harness.processes.pause(instance)
--- a/scripts/fleet/fleetConfig.ts
+++ b/scripts/fleet/fleetConfig.ts
@@ -1,10 +1,10 @@
-/** The site that the fleet check runs: teams, models, engines, and the configuration for them. */
+/** The site of the fleet check: teams, models, engines and their configuration. */
 
 export interface SiteTeam {
   name: string
   tokensPerSecond: number
   burstTokens: number
-  /** Share of the arrivals. */
+  /** Fraction of all arrivals. */
   arrivalRatio: number
 }
 
@@ -12,7 +12,7 @@
   name: string
   memoryMiB: number
   maxReplicas: number
-  /** Weight in the arrivals: most models are called seldom. */
+  /** Relative frequency in the arrivals: most models are called rarely. */
   popularity: number
 }
 
@@ -23,7 +23,7 @@
 export const ENGINE_MEMORY_MIB = 60_000
 export const LIST_LAG_MS = 2000
 
-/** Five teams, a few of them large. */
+/** Five teams, some of them large. */
 export const TEAMS: readonly SiteTeam[] = [
   { name: 'drivers', tokensPerSecond: 900, burstTokens: 3600, arrivalRatio: 0.4 },
   { name: 'depots', tokensPerSecond: 700, burstTokens: 2800, arrivalRatio: 0.3 },
@@ -42,7 +42,7 @@
   popularity: 1 / (index + 1) ** POPULARITY_EXPONENT
 }))
 
-/** The configuration in TOML; `extraModels` are models that a change adds while the check runs. */
+/** Returns the configuration as TOML; `extraModels` are added by configuration changes during the check. */
 export function fleetConfigToml (extraModels: readonly string[] = []): string {
   const teams = TEAMS.map(team => `[[team]]
 name = "${team.name}"
--- a/scripts/fleet/guarantees.ts
+++ b/scripts/fleet/guarantees.ts
@@ -1,6 +1,6 @@
 /**
- * The brief's eleven promises, each checked from what the stand-ins and the callers recorded, never from
- * what the product says of itself.
+ * Checks the eleven guarantees of the brief. Each check uses only the records of stand-ins and callers, never
+ * what the product reports about itself.
  */
 import { countTokens, createAnswer } from '@magnoliabay/standins'
 import type { EngineRequestRecord } from '@magnoliabay/standins'
@@ -10,14 +10,14 @@
 
 export interface GuaranteeResult {
   promise: string
-  /** Facts looked at. */
+  /** Number of facts checked. */
   checked: number
   violations: readonly string[]
-  /** Whether the check needs no clock, so that it may stand in CI. */
+  /** Whether the check does not depend on timing, so that it can run in CI. */
   isSafety: boolean
 }
 
-/** What callers and operators are told to expect, in milliseconds. */
+/** Bounds documented for callers and operators, in milliseconds. */
 const MAX_RESPONSE_TIME_MS = 15_000 + 2000
 const MAX_WITHDRAWAL_DELAY_MS = 5000
 const MAX_LEAVING_DELAY_MS = LIST_LAG_MS + 5000
@@ -26,7 +26,7 @@
 interface RunFacts {
   harness: Harness
   calls: readonly CallRecord[]
-  /** Requests at engines by the caller's own id of the call. */
+  /** Requests recorded by engines, keyed by the id that the caller gave the call. */
   runs: ReadonlyMap<string, readonly EngineRequestRecord[]>
 }
 
@@ -52,7 +52,7 @@
   return runs
 }
 
-/** Whether the instance was dead or stopped at some time of the call: then it can't have answered. */
+/** Whether the instance was killed or paused during the call, so that it cannot have responded. */
 function wasInstanceDown ({ harness }: RunFacts, call: CallRecord): boolean {
   const instance = harness.processes.all().find(process => process.id === call.instance)
   if (instance === undefined) return true
@@ -73,7 +73,7 @@
     samples.flatMap(sample => sample.models).forEach(model => counts.set(model, (counts.get(model) ?? 0) + 1))
     return [...counts.entries()]
       .filter(([model, count]) => count > (limits.get(model) ?? 1))
-      .map(([model, count]) => `${model} held ${count} times at ${atMs}`)
+      .map(([model, count]) => `${model} has ${count} replicas at ${atMs}`)
   })
   return { checked: samplesByTime.size, violations }
 }
@@ -91,7 +91,7 @@
 const checkMemory: Check = ({ harness }) => {
   const engines = harness.standIns.engines.map(engine => ({ id: engine.id, ...engine.state.records() }))
   const violations = engines.flatMap(engine => engine.overcommitAttempts.map(attempt =>
-    `${engine.id}: order ${attempt.orderId} wanted ${attempt.wantedMiB} MiB beside ${attempt.usedMiB} MiB of ${engine.memoryMiB}`))
+    `${engine.id}: order ${attempt.orderId} requires ${attempt.wantedMiB} MiB with ${attempt.usedMiB} of ${engine.memoryMiB} MiB in use`))
   return { checked: engines.reduce((sum, engine) => sum + engine.orders.length, 0), violations }
 }
 
@@ -115,13 +115,13 @@
     .map(run => `${call.id} of ${call.team} ran for ${run.team}`))
   const late = harness.observations.withdrawals.flatMap(withdrawal => calls
     .filter(call => call.keyId === withdrawal.keyId && call.startedAtMs > withdrawal.atMs + MAX_WITHDRAWAL_DELAY_MS && call.result === 'whole')
-    .map(call => `${call.id} answered with a key withdrawn ${call.startedAtMs - withdrawal.atMs} ms before`))
-  return { checked: calls.length, violations: [...leaked.map(() => 'a backend server saw a key'), ...wrongTeam, ...late] }
+    .map(call => `${call.id} succeeded with a key withdrawn ${call.startedAtMs - withdrawal.atMs} ms before`))
+  return { checked: calls.length, violations: [...leaked.map(() => 'a backend server received a key'), ...wrongTeam, ...late] }
 }
 
 /**
- * What was received within [a, b] by calls that began and had their first byte within [a, b] was admitted
- * there too, so it may not be more than rate × (b − a) + burst. Calls that overlap an edge are left out.
+ * Calls that started and received their first byte within [a, b] were also admitted within [a, b], so their tokens
+ * may not exceed rate × (b − a) + burst. Calls that overlap an end of the interval are ignored.
  */
 const checkAllowances: Check = ({ calls }) => {
   const violations = TEAMS.flatMap(team => {
@@ -131,7 +131,7 @@
       .sort((left, right) => left.to - right.to)
     const starts = [...new Set(whole.map(call => call.from))]
     const worst = starts.map(start => maxOverspendFrom(start, whole, team)).sort((left, right) => right.over - left.over)[0]
-    return worst !== undefined && worst.over > 0 ? [`${team.name}: ${Math.ceil(worst.over)} tokens over within ${worst.ms} ms`] : []
+    return worst !== undefined && worst.over > 0 ? [`${team.name}: ${Math.ceil(worst.over)} tokens over the allowance within ${worst.ms} ms`] : []
   })
   return { checked: calls.length, violations }
 }
@@ -169,13 +169,13 @@
 const checkNotRun: Check = ({ harness, calls, runs }) => {
   const completions = calls
     .filter(call => call.kind === 'completion' && call.notRun === true && (runs.get(call.id) ?? []).some(run => run.startedAtMs !== undefined))
-    .map(call => `${describe(call)} says not run`)
+    .map(call => `${describe(call)} was reported as not run, but it ran`)
   const runCounts = countRunsByKey(harness)
   const byKey = new Map<string, CallRecord[]>()
   calls.filter(call => call.idempotencyKey !== undefined).forEach(call => byKey.set(call.idempotencyKey!, [...byKey.get(call.idempotencyKey!) ?? [], call]))
   const services = [...byKey.entries()]
     .filter(([key, attempts]) => attempts.every(call => call.notRun === true) && (runCounts.get(key) ?? 0) > 0)
-    .map(([key]) => `${key}: every call was told not run, but it ran`)
+    .map(([key]) => `${key}: every call was reported as not run, but it ran`)
   return { checked: calls.filter(call => call.notRun === true).length, violations: [...completions, ...services] }
 }
 
@@ -198,7 +198,7 @@
     const engine = harness.standIns.engines.find(candidate => candidate.id === leaving.id)
     return (engine?.state.records().requests ?? [])
       .filter(record => record.receivedAtMs > leaving.atMs + MAX_LEAVING_DELAY_MS)
-      .map(record => `${leaving.id} got a request ${record.receivedAtMs - leaving.atMs} ms after it began to leave`)
+      .map(record => `${leaving.id} received a request ${record.receivedAtMs - leaving.atMs} ms after it started to leave`)
   })
   return { checked: leavingEngines.length, violations }
 }
@@ -206,7 +206,7 @@
 const checkShutdowns: Check = ({ harness, calls }) => {
   const shutDown = harness.processes.all().filter(process => process.shutdownRequestedAtMs !== undefined)
   const violations = shutDown.flatMap(process => [
-    ...(process.end?.kind === 'shut-down' ? [] : [`${process.id} did not end by itself`]),
+    ...(process.end?.kind === 'shut-down' ? [] : [`${process.id} did not exit by itself`]),
     ...calls
       .filter(call => call.instance === process.id && (call.result === 'cut' || call.result === 'unanswered'))
       .filter(call => call.endedAtMs >= process.shutdownRequestedAtMs!)
@@ -220,8 +220,8 @@
   const violations = probes.flatMap(probe => [
     ...probe.expected
       .filter(id => !((probe.listedAtMs[id] ?? Infinity) - probe.appliedAtMs <= MAX_ACTIVATION_DELAY_MS))
-      .map(id => `${probe.model} not in force at ${id} within ${MAX_ACTIVATION_DELAY_MS} ms`),
-    ...probe.reverted.map(id => `${probe.model} gone again at ${id}`)
+      .map(id => `${probe.model} not listed by ${id} within ${MAX_ACTIVATION_DELAY_MS} ms`),
+    ...probe.reverted.map(id => `${probe.model} no longer listed by ${id}`)
   ])
   return { checked: probes.length, violations }
 }
--- a/scripts/fleet/harness.ts
+++ b/scripts/fleet/harness.ts
@@ -1,4 +1,4 @@
-/** Everything of one run: stand-ins, instance processes, callers, and what is observed. */
+/** Harness of one run: stand-ins, instance processes, callers and observations. */
 import { createStandInFleet } from '@magnoliabay/standins'
 import type { StandInFleet } from '@magnoliabay/standins'
 import { request } from 'undici'
@@ -17,7 +17,7 @@
 export interface HarnessOptions {
   seed: number
   instances: number
-  /** Arrivals a second. */
+  /** Arrivals per second. */
   rate: number
   directory: string
 }
@@ -29,11 +29,11 @@
   readonly callers: Callers
   readonly observations: Observations
   operators (): OperatorClient
-  /** Starts another instance and calls it ready. */
+  /** Starts another instance; resolves as `InstanceProcesses.start` does. */
   addInstance (): Promise<InstanceProcess>
-  /** Withdraws the key of a team and gives it a new one. */
+  /** Creates a new key for a team and withdraws the old one. */
   replaceKey (team: string): Promise<void>
-  /** Adds a model to the configuration and watches when each instance lists it. */
+  /** Adds a model to the configuration and records when each instance lists it. */
   probeConfig (): Promise<void>
   drainEngine (id: string): void
   close (): Promise<void>
--- a/scripts/fleet/processes.ts
+++ b/scripts/fleet/processes.ts
@@ -1,4 +1,4 @@
-/** The instances under check: each a `magnoliabay serve` process of its own. */
+/** The instances under test: each is a separate `magnoliabay serve` process. */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
 import { createHash } from 'node:crypto'
@@ -22,28 +22,28 @@
   readonly entryAddress: string
   readonly operatorAddress: string
   readonly child: ChildProcess
-  /** When it was asked to shut down, Unix epoch milliseconds. */
+  /** Time at which a shutdown was requested, in Unix epoch milliseconds. */
   shutdownRequestedAtMs?: number
   end?: InstanceEnd
-  /** Spans in which the process was stopped. */
+  /** Periods in which the process was paused (SIGSTOP), in Unix epoch milliseconds. */
   pauses: Array<{ fromMs: number, toMs: number }>
 }
 
 export interface ProcessesOptions {
   standIns: StandInFleet
-  /** Settings and logs go here. */
+  /** Directory for settings files and logs. */
   directory: string
   operatorKey: string
 }
 
 export interface InstanceProcesses {
-  /** Every process ever started. */
+  /** Returns all processes, including those that have ended. */
   all (): readonly InstanceProcess[]
   live (): readonly InstanceProcess[]
-  /** Starts an instance; resolves when it says that it's ready. */
+  /** Starts an instance; resolves when it reports that it is ready, has ended, or has timed out. */
   start (id: string, domainIndex: number): Promise<InstanceProcess>
   kill (instance: InstanceProcess): Promise<void>
-  /** Asks for a graceful shutdown and waits for it. */
+  /** Requests a graceful shutdown and waits until the process has ended. */
   shutDown (instance: InstanceProcess): Promise<void>
   pause (instance: InstanceProcess): void
   resume (instance: InstanceProcess): void
--- a/scripts/fleet/random.ts
+++ b/scripts/fleet/random.ts
@@ -1,18 +1,18 @@
-/** Seeded randomness, so that a run can be asked for again. */
+/** Seeded random numbers, so that a run can be repeated. */
 
 export interface Random {
-  /** In [0, 1). */
+  /** Returns a number in [0, 1). */
   next (): number
-  /** Whole number in [0, bound). */
+  /** Returns an integer in [0, bound). */
   below (bound: number): number
   pick<T> (items: readonly T[]): T
-  /** Exponential gap with this mean. */
+  /** Returns an exponentially distributed number with this mean. */
   exponential (mean: number): number
 }
 
 const MULTIPLIER = 0x6d2b79f5
 
-/** Mulberry32: small, seeded, good enough for arrivals. */
+/** Creates a mulberry32 generator: small, seeded and random enough for arrivals. */
 export function createRandom (seed: number): Random {
   let state = seed >>> 0
   const next = (): number => {
--- a/scripts/fleet/records.ts
+++ b/scripts/fleet/records.ts
@@ -1,9 +1,9 @@
-/** What callers saw, and what was held where: all that the checks look at beside the stand-ins' own records. */
+/** Records of calls, engine states and changes that the checks evaluate together with the stand-ins' own records. */
 
 /**
- * `whole`: the whole answer to this very request. `wrong`: a clean end, but not that answer.
- * `refused`: a typed failure. `cut`: the connection or the stream broke, with no typed failure.
- * `no-connection`: nothing was ever sent. `unanswered`: the caller gave up long after its deadline.
+ * `whole`: the complete response to this request. `wrong`: a normal end, but not the expected response.
+ * `refused`: a typed error. `cut`: the connection or the stream broke without a typed error.
+ * `no-connection`: nothing was sent. `unanswered`: the caller timed out long after its deadline.
  */
 export type CallResult = 'whole' | 'wrong' | 'refused' | 'cut' | 'no-connection' | 'unanswered'
 
@@ -13,7 +13,7 @@
   team: string
   keyId: string
   key: string
-  /** Instance that was called. */
+  /** Instance that received the call. */
   instance: string
   model?: string
   prompt?: string
@@ -27,12 +27,12 @@
   detail?: string
 }
 
-/** Models held by an engine at one moment, read from the engine itself. */
+/** State of an engine at one time, read from the engine stand-in itself. */
 export interface EngineSample {
   atMs: number
   engine: string
   loaded: readonly string[]
-  /** Loading, loaded or unloading. */
+  /** All models that are loading, loaded or unloading. */
   models: readonly string[]
   running: number
 }
@@ -40,11 +40,11 @@
 export interface ConfigProbe {
   model: string
   appliedAtMs: number
-  /** When each instance first listed it. */
+  /** Time at which each instance first listed the model. */
   listedAtMs: Record<string, number>
-  /** Instances that listed it and later did not. */
+  /** Instances that listed the model and later did not. */
   reverted: string[]
-  /** Instances that lived through the whole probe. */
+  /** Instances that ran without a pause during the whole probe. */
   expected: string[]
 }
 
--- a/scripts/fleet/report.ts
+++ b/scripts/fleet/report.ts
@@ -1,4 +1,4 @@
-/** What a run showed: as text, as JSON, and as a page with plots. */
+/** Reports of the runs: as text, as JSON and as an HTML page with plots. */
 import { writeFileSync } from 'node:fs'
 import type { Fault } from './faults'
 import type { Measurements } from './measurements'
@@ -11,7 +11,7 @@
   tookMs: number
   verdicts: readonly GuaranteeResult[]
   measures: Measurements
-  /** For the plot: seconds since the start, milliseconds to the first byte. */
+  /** Points of the plot: seconds since the start of the load, milliseconds to the first byte. */
   points: ReadonlyArray<{ atSeconds: number, firstByteMs: number, result: CallRecord['result'] }>
 }
 
--- a/scripts/reference/docs.ts
+++ b/scripts/reference/docs.ts
@@ -1,10 +1,10 @@
-/** Doc comments of schemas, by the path of the field that they stand at. */
+/** Reads doc comments of schemas, keyed by the path of the documented field. */
 import { readFileSync } from 'node:fs'
 import ts from 'typescript'
 
 export type FieldDocs = ReadonlyMap<string, string>
 
-/** Reads the comments of the schema that `file` declares as `schema`. */
+/** Reads the doc comments of the schema that `file` declares under the name `schema`. */
 export function readFieldDocs (file: string, schema: string): FieldDocs {
   const source = ts.createSourceFile(file, readFileSync(file, 'utf8'), ts.ScriptTarget.Latest, true)
   const declared = new Map<string, ts.Expression>()
--- a/scripts/reference/fields.ts
+++ b/scripts/reference/fields.ts
@@ -1,15 +1,15 @@
-/** Fields of a schema with their types and defaults. */
+/** Lists the fields of a schema with their types and defaults. */
 import type * as v from 'valibot'
 
 export interface Field {
   path: string
   type: string
-  /** As TOML; undefined when there is none. */
+  /** In TOML; undefined if the field has no default. */
   default?: string
   isRequired: boolean
 }
 
-/** What the walk needs to know of a schema, whatever its kind. */
+/** The properties that `walk` reads from a schema of any kind. */
 interface AnySchema {
   type: string
   entries?: Record<string, AnySchema>
@@ -26,7 +26,7 @@
 }
 
 function walk (schema: AnySchema, path: string, isRequired: boolean, defaultValue?: unknown): Field[] {
-  // The outermost one counts: a field that an overlay may leave out has no default there.
+  // The outermost `optional` decides: a field that an overlay may omit has no default there.
   if (schema.type === 'optional') return walk(schema.wrapped!, path, false, isRequired ? schema.default : defaultValue)
   if (schema.entries !== undefined) {
     return Object.entries(schema.entries).flatMap(([name, entry]) => walk(entry, path === '' ? name : `${path}.${name}`, true))
--- a/scripts/reference/index.ts
+++ b/scripts/reference/index.ts
@@ -1,4 +1,4 @@
-/** `npm run reference`: writes the reference pages from the schemas; a test compares them. */
+/** `npm run reference`: writes the reference pages from the schemas. A test checks that the pages are up to date. */
 import { writeFileSync } from 'node:fs'
 import type * as v from 'valibot'
 import { clientSchema } from '../../packages/magnoliabay/src/node/commands/connection'
--- a/scripts/start/compile.ts
+++ b/scripts/start/compile.ts
@@ -1,4 +1,4 @@
-/** Runs the program until it ends by itself, and keeps the code that was compiled for that. */
+/** Runs the program until it exits, and writes a code cache of the functions that were compiled meanwhile. */
 import { rmSync, writeFileSync } from 'node:fs'
 import { COMPILED_FILE, readProgram } from './program'
 
@@ -7,7 +7,7 @@
 process.on('exit', () => {
   const compiled = program.script.createCachedData()
   writeFileSync(COMPILED_FILE, compiled)
-  process.stdout.write(`compiled code: ${compiled.length} bytes\n`)
+  process.stdout.write(`code cache: ${compiled.length} bytes\n`)
   process.exitCode = 0
 })
 program.run()
--- a/scripts/start/index.ts
+++ b/scripts/start/index.ts
@@ -1,4 +1,4 @@
-/** Starts the program as it was built. */
+/** Starts the bundled program. */
 import { readProgram } from './program'
 
 readProgram().run()
--- a/scripts/start/program.ts
+++ b/scripts/start/program.ts
@@ -1,16 +1,16 @@
-/** The program's text as a script, with its compiled code where there is some that this runtime takes. */
+/** Loads the bundled program as a script, with its code cache if one exists that this runtime accepts. */
 import { existsSync, readFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
 import { dirname, join } from 'node:path'
 import { Script } from 'node:vm'
 
 const PROGRAM_FILE = join(__dirname, 'magnoliabay.cjs')
-/** Compiled code of the program, beside it. */
+/** Code cache of the program, in the same directory. */
 export const COMPILED_FILE = join(__dirname, 'magnoliabay.compiled')
 
 export interface Program {
   script: Script
-  /** Runs it as the runtime runs a module. */
+  /** Runs the script as a CommonJS module. */
   run (): void
 }
 
--- a/scripts/testReport.ts
+++ b/scripts/testReport.ts
@@ -1,10 +1,10 @@
 /**
- * Judges a run of the tests: every failure counts but those that KNOWN-RED.txt names. Prints what failed,
- * and closes with mocha's own count.
+ * Checks the report of a test run: every failure counts except those listed in KNOWN-RED.txt. Prints the failed tests,
+ * and last the counts of mocha.
  */
 import { existsSync, readFileSync } from 'node:fs'
 
-/** The part used of what mocha's `json` reporter writes. */
+/** The fields that are used of the output of mocha's `json` reporter. */
 export interface TestReport {
   stats: { passes: number, failures: number }
   passes: Array<{ fullTitle: string }>
@@ -24,10 +24,10 @@
   const known = new Set(entries.map(entry => entry.title))
   const unknown = report.failures.filter(test => !known.has(test.fullTitle))
   const failed = new Set(report.failures.map(test => test.fullTitle))
-  // A test that passes again, or was renamed, must leave the list: its line would hide the next failure.
+  // A test that passes again or was renamed must be removed from the list: its line would hide the next failure.
   const stale = entries.filter(entry => !failed.has(entry.title))
   const tooMany = entries.length > MAX_KNOWN_RED ? [`KNOWN-RED.txt holds ${entries.length} lines; ${MAX_KNOWN_RED} are allowed`] : []
-  // A run that stopped before its first test has no failures either.
+  // A run that stopped before its first test reports no failures either.
   const nothingRan = report.stats.passes === 0 ? ['no test passed'] : []
   return {
     lines: [
@@ -42,7 +42,7 @@
   }
 }
 
-/** Reads the report and the list, prints the verdict and returns the exit code. */
+/** Reads the report and the list, prints the result and returns the exit code. */
 export function checkTestReportFile (reportFile: string, knownRedFile: string): number {
   const report = JSON.parse(readFileSync(reportFile, 'utf8')) as TestReport
   const verdict = checkTestReport(report, existsSync(knownRedFile) ? readFileSync(knownRedFile, 'utf8') : '')
