--- a/bench/allowance/index.ts
+++ b/bench/allowance/index.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- allowance`: allowances counted over nine instances, beside a static split and a central
- * bucket; and the queue's fairness. Virtual time; the product's own code over a network and a store in memory.
+ * `npm run bench -- allowance`: compares allowances shared by nine instances with a static split and a central bucket, and
+ * measures the fairness of the queue. Runs the product's code in virtual time with an in-memory network and store.
  */
 import { parseArgs } from 'node:util'
 import { DISCIPLINES, runFairness } from './fairness'
@@ -17,7 +17,7 @@
   const { values } = parseArgs({ args: [...args], options: { seeds: { type: 'string' } } })
   const seeds = values.seeds === undefined ? SEEDS : values.seeds.split(',').map(Number)
   print(`seeds ${seeds.join(', ')}; ${HEALTHY_MS / 1000} s with the store, ${DOWN_MS / 1000} s without`)
-  print('| policy | phase | requests | refused | wrongful | of teams within rate | flood got of its rate | overspend | store calls | peer messages | decision p50, p99 ms |')
+  print('| policy | phase | requests | refused | wrongful | of teams within rate | flooding team, part of its rate | overspend | store calls | peer messages | decision p50, p99 ms |')
   print('|---|---|---|---|---|---|---|---|---|---|---|')
   for (const policy of Object.keys(POLICIES) as PolicyName[]) {
     const runs: Outcome[][] = []
--- a/bench/allowance/workload.ts
+++ b/bench/allowance/workload.ts
@@ -1,13 +1,13 @@
-/** Five teams, a few large, at nine instances; where a team's requests arrive is uneven and shifts. */
+/** Five teams, some of them large, at nine instances; a team's requests are spread unevenly, and the distribution changes over time. */
 import { createRandom, exponential } from '../virtualTime'
 
 export interface BenchTeam {
   name: string
   rate: number
   burst: number
-  /** Offered tokens, settled, beside the rate. */
+  /** Used tokens offered, relative to the rate. */
   load: number
-  /** Mean of what a request reserves. */
+  /** Mean number of tokens that a request reserves. */
   meanTokens: number
 }
 
@@ -31,7 +31,7 @@
 ]
 
 const SHIFT_INTERVAL_MS = 20_000
-/** Parts of a team's requests at the instances, greatest first. */
+/** Fractions of a team's requests at the instances, in descending order. */
 const INSTANCE_RATIOS = [0.4, 0.2, 0.12, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02]
 const MEAN_USED_RATIO = 0.6
 const MEAN_DURATION_MS = 2000
--- a/bench/capacity/sample.ts
+++ b/bench/capacity/sample.ts
@@ -1,12 +1,12 @@
-/** What one process uses, read from the kernel's own counters. */
+/** Resource use of one process, read from the kernel's counters. */
 import { readFileSync } from 'node:fs'
 
 export interface ProcessSample {
   atMs: number
-  /** Processor time since its start, milliseconds. */
+  /** Processor time since the start of the process, in milliseconds. */
   cpuMs: number
   rssMiB: number
-  /** Bytes read and written by system calls since its start: sockets, and the log. */
+  /** Bytes read and written by system calls since the start of the process: sockets and the log. */
   bytes: number
 }
 
@@ -31,7 +31,7 @@
 }
 
 export interface ResourceUse {
-  /** Share of one core. */
+  /** Fraction of one core. */
   coreRatio: number
   rssMiB: number
   bytesPerSecond: number
--- a/bench/cold/index.ts
+++ b/bench/cold/index.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- cold [seed...]`: cold starts and idle accelerators of both deployments, in virtual time, with
- * the product's own decisions beside a naive version and a bound.
+ * `npm run bench -- cold [seed...]`: measures cold starts and idle accelerator time for both deployments, in virtual time,
+ * and compares the product's decisions with a naive strategy and a bound.
  */
 import { measure } from './measure'
 import type { Measurement } from './measure'
@@ -10,7 +10,7 @@
 import { SITES, createWorkload } from './workload'
 
 const DURATION_MS = 2 * 3_600_000
-/** By site, so that the two don't play the same day. */
+/** Seeds by site, so that the two sites run different workloads. */
 const SEEDS: Readonly<Record<string, readonly number[]>> = { shannonside: [11, 12], 'fraser-font': [21, 22] }
 
 export async function run (args: readonly string[]): Promise<void> {
--- a/bench/cold/measure.ts
+++ b/bench/cold/measure.ts
@@ -1,4 +1,4 @@
-/** Plays a workload against a contender and measures what its callers and its operators would see. */
+/** Runs a workload with a strategy and measures the waits of callers and the costs for operators. */
 import type { EngineStandIn, WeightStore } from '@magnoliabay/standins'
 import type { VirtualClock } from 'magnoliabay/clock/virtual'
 import { ENGINE_MIB } from './workload'
@@ -13,7 +13,7 @@
   readonly clock: VirtualClock
   readonly engines: readonly EngineStandIn[]
   readonly weights: WeightStore
-  /** Undefined when the request was refused. */
+  /** Returns undefined if the request is refused. */
   serve (arrival: Arrival): Promise<ServedRequest | undefined>
   close (): void
 }
@@ -33,7 +33,7 @@
 
 const SAMPLE_INTERVAL_MS = 1000
 const SETTLE_DURATION_MS = 60_000
-/** Less than this is no wait. */
+/** Requests that wait longer count as cold. */
 const MAX_WARM_WAIT_MS = 50
 
 interface ReplicaLifetime {
@@ -91,7 +91,7 @@
     await clock.advance(SAMPLE_INTERVAL_MS)
     sample()
   }
-  // What was loaded at the very end may still come to use.
+  // Replicas loaded just before the end are ignored: they might still be used.
   const atEnd = [...lifetimes.values()].filter(life => clock.monotonic() - life.loadedAtMs > SETTLE_DURATION_MS)
   await clock.advance(SETTLE_DURATION_MS)
   const all = [...endedLifetimes, ...atEnd]
--- a/bench/cold/naive.ts
+++ b/bench/cold/naive.ts
@@ -1,6 +1,7 @@
 /**
- * The naive version: first come first loaded, least recently used out, unloaded after ten idle minutes, and no
- * word between instances. In its favour, it sees every engine's state and every last use at once.
+ * The naive strategy: loads models in the order of requests, evicts the least recently used, unloads models after ten idle
+ * minutes, and does not coordinate instances. In its favour, it sees the state of every engine and every last use
+ * without delay.
  */
 import type { EngineStandIn } from '@magnoliabay/standins'
 import { repeat, sleep } from 'magnoliabay/clock/index'
--- a/bench/cold/oracle.ts
+++ b/bench/cold/oracle.ts
@@ -1,7 +1,7 @@
 /**
- * The bound: one mind that knows all arrivals. It loads a model when it is first called, keeps everything as long as
- * memory lasts, lets go of what is needed last, gives the weight store's turns to the shortest loads, and pays for
- * no message. It does not load before the first call: with that, only the memory would bound it.
+ * The bound: one central scheduler that knows all arrivals. It loads a model on its first request, keeps models while there
+ * is memory, evicts those that are needed last, gives the weight store to the shortest loads first, and has no message
+ * delays. It does not load a model before its first request: otherwise only the memory would limit it.
  */
 import type { EngineStandIn } from '@magnoliabay/standins'
 import { createEngineSimulation } from './engineSimulation'
@@ -25,7 +25,7 @@
   const freeOf = (engine: EngineStandIn): number => engine.state().memoryMiB - engine.state().usedMiB
   const tierAt = (engine: EngineStandIn, model: string): keyof typeof TIER_RANK =>
     engine.state().checkpoints.find(held => held.model === model)?.tier ?? 'remote'
-  /** Those needed last, until there is room. */
+  /** Returns the models that are needed last, enough of them to make room; undefined if that is not possible. */
   const victimsAt = (engine: EngineStandIn, model: string): string[] | undefined => {
     let missing = simulation.sizeOf(model) - freeOf(engine)
     const held = engine.state().models
--- a/bench/cold/product.ts
+++ b/bench/cold/product.ts
@@ -1,4 +1,4 @@
-/** The product's own cells and routing, over the stand-ins. */
+/** The product's own cells and routing with the stand-ins. */
 import { advance, createWorld } from 'magnoliabay/cells/__tests__/support/world'
 import type { Strategy } from './measure'
 import { ENGINE_MIB, FULL_SPEED_LOADS } from './workload'
--- a/bench/index.ts
+++ b/bench/index.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- <name>`: each bench is a module of its own, with a `run` that takes the rest of the arguments. */
+/** `npm run bench -- <name>`: each benchmark is a module whose `run` receives the remaining arguments. */
 
 interface Bench {
   run (args: readonly string[]): Promise<void>
@@ -17,7 +17,7 @@
   const [name = '', ...args] = process.argv.slice(2)
   const importBench = BENCHES[name]
   if (importBench === undefined) {
-    process.stderr.write(`Say which bench to run: ${Object.keys(BENCHES).join(', ')}\n`)
+    process.stderr.write(`unknown benchmark; expected one of: ${Object.keys(BENCHES).join(', ')}\n`)
     process.exit(2)
   }
   const bench = await importBench()
--- a/bench/relay/engineProcess.ts
+++ b/bench/relay/engineProcess.ts
@@ -1,13 +1,13 @@
 /**
- * A bare engine for the bench, in a process of its own: streams events at a steady pace, each with the time
- * at which it was sent. `CLOCK_MONOTONIC` is one for all processes of the machine.
+ * A minimal engine for the benchmark, in a separate process. It streams events at a constant rate, each with the time at
+ * which it was sent; all processes of a machine share `CLOCK_MONOTONIC`.
  */
 import { createServer } from 'node:http'
 import type { ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 
 interface StreamRequest {
-  /** Events before the end mark. */
+  /** Number of events before the final ones. */
   chunks: number
   intervalMs: number
 }
--- a/bench/relay/entryProcess.ts
+++ b/bench/relay/entryProcess.ts
@@ -1,6 +1,6 @@
 /**
- * The product's entry in a process of its own, with its own relay, checks and outcomes; what stands around
- * it (store, peers, routing) is fixed, so that the bench measures the way of the bytes alone.
+ * The product's entry server in a separate process, with its real relay, checks and outcomes. Its dependencies (store,
+ * peers, routing) are fakes, so that the benchmark measures only the data path.
  */
 import { createEngineClient, createConnectionPools } from '../../packages/magnoliabay/src/node/backend'
 import { createSystemClock } from '../../packages/magnoliabay/src/node/clock'
--- a/bench/relay/index.ts
+++ b/bench/relay/index.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- relay`: what the entry adds to a stream, against the same calls sent straight to the
- * engine in the same run. Engines and the entry are processes of their own, on loopback.
+ * `npm run bench -- relay`: measures the latency that the entry server adds to a stream, compared with the same calls sent
+ * directly to the engine in the same run. Engines and the entry server are separate processes on loopback.
  */
 import { fork } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
@@ -15,7 +15,7 @@
 type Round = Omit<LoadOptions, 'addresses'>
 
 const ENGINES = 2
-/** The last two carry 20,000 events a second, if the entry keeps up. */
+/** The last two rounds send 20,000 events per second if the entry server keeps up. */
 const ROUNDS: readonly Round[] = [
   { streams: 1, chunks: 150, intervalMs: 20, rampMs: 0 },
   { streams: 100, chunks: 100, intervalMs: 40, rampMs: 2000 },
@@ -76,7 +76,7 @@
   return `| ${cells.join(' | ')} |`
 }
 
-/** `--only writes` leaves the streams out, `--only streams` the claims. */
+/** `--only writes` skips the streams, `--only streams` the claims. */
 export async function run (args: readonly string[]): Promise<void> {
   const only = args[args.indexOf('--only') + 1]
   if (only !== 'streams') await runWrites()
@@ -95,7 +95,7 @@
   const entryAddress = `127.0.0.1:${entryPort}`
   await runLoad({ addresses: [entryAddress], streams: 50, chunks: 100, intervalMs: 5, rampMs: 100 })
 
-  process.stdout.write('| streams | events/s asked | first token p95 direct / via, ms | added p50 | added p95 | per event added p50 | p95 | events per core-second | KiB a stream | broken |\n')
+  process.stdout.write('| streams | events/s requested | first token p95 direct / relayed, ms | added p50 | added p95 | per event added p50 | p95 | events per core-second | KiB per stream | broken |\n')
   process.stdout.write('|---|---|---|---|---|---|---|---|---|---|\n')
   for (const round of ROUNDS) process.stdout.write(`${await runRound(round, engines, entryAddress, entry)}\n`)
   ;[...engineProcesses, entry].forEach(child => child.kill())
--- a/bench/relay/writes.ts
+++ b/bench/relay/writes.ts
@@ -1,6 +1,6 @@
 /**
- * Store writes of non-idempotent requests, in virtual time: the product's claims, groups and shared writer
- * over the stand-in store and peers in memory. A request is claimed, answered, and its answer is kept.
+ * Counts store writes for non-idempotent requests, in virtual time: the product's claims, batches and shared writer with
+ * the stand-in store and in-memory peers. Each request is claimed and answered, and its answer is stored.
  */
 import { createDirectStore, createKvCallCounter, createKvState, createRandom } from '../../packages/standins/src/node'
 import { sleep } from '../../packages/magnoliabay/src/node/clock'
@@ -14,7 +14,7 @@
 interface WritesCase {
   instances: number
   requestsPerSecond: number
-  /** Share of requests that repeat an earlier key. */
+  /** Fraction of requests that repeat an earlier key. */
   repeatRatio: number
 }
 
@@ -72,6 +72,6 @@
 
 export async function runWrites (): Promise<void> {
   process.stdout.write(`\nClaims, seed ${SEED}, ${SECONDS} s of virtual time, store ${STORE_DELAY_MS} ms, link ${LINK_DELAY_MS} ms\n\n`)
-  process.stdout.write('| instances | requests/s | repeats | ran | store writes a request | writes/s | reads a request | claim wait p50, ms | p95 |\n|---|---|---|---|---|---|---|---|---|\n')
+  process.stdout.write('| instances | requests/s | repeats | ran | store writes per request | writes/s | reads per request | claim wait p50, ms | p95 |\n|---|---|---|---|---|---|---|---|---|\n')
   for (const writesCase of CASES) process.stdout.write(`${await runCase(createVirtualClock(), writesCase)}\n`)
 }
