--- a/bench/allowance/index.ts
+++ b/bench/allowance/index.ts
@@ -37,7 +37,7 @@
 
 function rowOf (outcomes: readonly Outcome[]): string {
   const sum = (of: (outcome: Outcome) => number): number => outcomes.reduce((total, outcome) => total + of(outcome), 0)
-  const most = (of: (outcome: Outcome) => number): number => Math.max(...outcomes.map(of))
+  const max = (of: (outcome: Outcome) => number): number => Math.max(...outcomes.map(of))
   const share = (part: number, whole: number): string => `${part} (${(100 * part / whole).toFixed(3)} %)`
   const requests = sum(outcome => outcome.requests)
   const cells = [
@@ -48,10 +48,10 @@
     share(sum(outcome => outcome.wrongful), requests),
     share(sum(outcome => outcome.wrongfulWithinRate), sum(outcome => outcome.withinRate)),
     `${(100 * sum(outcome => outcome.floodRatio) / outcomes.length).toFixed(1)} %`,
-    most(outcome => outcome.overspend).toFixed(3),
+    max(outcome => outcome.overspend).toFixed(3),
     sum(outcome => outcome.storeCalls),
     sum(outcome => outcome.peerMessages),
-    `${most(outcome => outcome.p50Ms).toFixed(1)}, ${most(outcome => outcome.p99Ms).toFixed(1)}`
+    `${max(outcome => outcome.p50Ms).toFixed(1)}, ${max(outcome => outcome.p99Ms).toFixed(1)}`
   ]
   return `| ${cells.join(' | ')} |`
 }
--- a/bench/allowance/run.ts
+++ b/bench/allowance/run.ts
@@ -92,7 +92,7 @@
       phase,
       ...counts,
       floodRatio: floodTokens / (FLOOD_RATE * (phase === 'store down' ? downMs : healthyMs) / MS_PER_SECOND),
-      overspend: Math.max(...[...referenceBuckets.values()].map(judge => judge.overspend())),
+      overspend: Math.max(...[...referenceBuckets.values()].map(bucket => bucket.overspend())),
       storeCalls: policy.storeCalls() - calls,
       peerMessages: policy.peerMessages() - messages,
       p50Ms: percentile(decisionMs, 0.5),
--- a/bench/cold/measure.ts
+++ b/bench/cold/measure.ts
@@ -41,8 +41,8 @@
   used: boolean
 }
 
-export async function measure (name: string, contender: Strategy, workload: Workload): Promise<Measurement> {
-  const { clock, engines } = contender
+export async function measure (name: string, strategy: Strategy, workload: Workload): Promise<Measurement> {
+  const { clock, engines } = strategy
   const waits: number[] = []
   const inUse = new Map<string, number>()
   const lifetimes = new Map<string, ReplicaLifetime>()
@@ -53,7 +53,7 @@
   const changeUse = (key: string, change: number): void => { inUse.set(key, (inUse.get(key) ?? 0) + change) }
   const run = async (arrival: Arrival): Promise<void> => {
     const startedMs = clock.monotonic()
-    const served = await contender.serve(arrival)
+    const served = await strategy.serve(arrival)
     const waitedMs = clock.monotonic() - startedMs
     if (served === undefined) {
       refused += 1
@@ -71,16 +71,16 @@
     })
   }
   const sample = (): void => {
-    const held = engines.flatMap(engine => engine.state().models.map(model => ({ key: `${engine.id} ${model.model}`, model })))
-    const keys = new Set(held.map(({ key }) => key))
-    held.filter(({ key }) => !lifetimes.has(key)).forEach(({ key }) =>
+    const replicas = engines.flatMap(engine => engine.state().models.map(model => ({ key: `${engine.id} ${model.model}`, model })))
+    const keys = new Set(replicas.map(({ key }) => key))
+    replicas.filter(({ key }) => !lifetimes.has(key)).forEach(({ key }) =>
       lifetimes.set(key, { loadedAtMs: clock.monotonic(), used: (inUse.get(key) ?? 0) > 0 }))
     const endedKeys = [...lifetimes.keys()].filter(key => !keys.has(key))
     endedKeys.forEach(key => {
       endedLifetimes.push(lifetimes.get(key)!)
       lifetimes.delete(key)
     })
-    held.forEach(({ key, model }) => {
+    replicas.forEach(({ key, model }) => {
       const isUsed = (inUse.get(key) ?? 0) > 0
       if (isUsed) lifetimes.get(key)!.used = true
       else idleMs += SAMPLE_INTERVAL_MS * model.memoryMiB / ENGINE_MIB
@@ -92,7 +92,7 @@
     sample()
   }
   // Replicas loaded just before the end are ignored: they might still be used.
-  const atEnd = [...lifetimes.values()].filter(life => clock.monotonic() - life.loadedAtMs > SETTLE_DURATION_MS)
+  const atEnd = [...lifetimes.values()].filter(lifetime => clock.monotonic() - lifetime.loadedAtMs > SETTLE_DURATION_MS)
   await clock.advance(SETTLE_DURATION_MS)
   const all = [...endedLifetimes, ...atEnd]
   waits.sort((left, right) => left - right)
@@ -107,8 +107,8 @@
     refused,
     idleHours: idleMs / 3_600_000,
     loads: engines.flatMap(engine => engine.records().orders).filter(record => record.order.action === 'load' && record.reply?.outcome === 'done').length,
-    wastedRatio: all.length === 0 ? 0 : all.filter(life => !life.used).length / all.length
+    wastedRatio: all.length === 0 ? 0 : all.filter(lifetime => !lifetime.used).length / all.length
   }
-  contender.close()
+  strategy.close()
   return measured
 }
--- a/bench/decusum/index.ts
+++ b/bench/decusum/index.ts
@@ -94,11 +94,11 @@
 
 function measureChange (create: (random: () => number) => Detector, slowdown: number): DelayRow {
   const random = createRandom(SEED + 1)
-  const quiet = normalSource(random)
+  const normal = normalSource(random)
   const slow = slowSource(random, slowdown)
   const runs = Array.from({ length: CHANGE_RUNS }, () => {
     const before = MIN_SLOTS_BEFORE_CHANGE + Math.floor(random() * MIN_SLOTS_BEFORE_CHANGE)
-    return runWithChange(create(random), quiet, slow, before, MAX_DELAY_SLOTS)
+    return runWithChange(create(random), normal, slow, before, MAX_DELAY_SLOTS)
   }).filter((run): run is Detection => run !== undefined)
   const delays = runs.map(run => run.delaySlots).sort((left, right) => left - right)
   const meanOf = (values: number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length
@@ -112,11 +112,11 @@
 function printPolicy (share: string, policy: Policy): void {
   const setting = calibrate(policy)
   const random = createRandom(SEED + 2)
-  const quiet = runWithoutChange(() => policy.create(setting, random), normalSource(random), CALIBRATION_SLOTS)
+  const unchanged = runWithoutChange(() => policy.create(setting, random), normalSource(random), CALIBRATION_SLOTS)
   const bursty = runWithoutChange(() => policy.create(setting, random), burstySource(random), CALIBRATION_SLOTS / 5)
   const rows = SLOWDOWNS.map(slowdown => measureChange(own => policy.create(setting, own), slowdown))
   print([
-    share, policy.name, quiet.probedRatio.toFixed(3), quiet.slotsPerAlarm, bursty.slotsPerAlarm,
+    share, policy.name, unchanged.probedRatio.toFixed(3), unchanged.slotsPerAlarm, bursty.slotsPerAlarm,
     ...rows.flatMap(row => [row.mean, row.p95]),
     rows[1]!.probes
   ])
--- a/bench/relay/index.ts
+++ b/bench/relay/index.ts
@@ -49,29 +49,29 @@
 
 const formatMs = (micros: number): string => (micros / 1000).toFixed(2)
 
-function formatAdded (via: LoadResult, direct: LoadResult, metric: 'firstToken' | 'perChunk', percentile: number): string {
-  return formatMs(via[metric].getValueAtPercentile(percentile) - direct[metric].getValueAtPercentile(percentile))
+function formatAdded (relayed: LoadResult, direct: LoadResult, metric: 'firstToken' | 'perChunk', percentile: number): string {
+  return formatMs(relayed[metric].getValueAtPercentile(percentile) - direct[metric].getValueAtPercentile(percentile))
 }
 
 async function runRound (round: Round, engines: readonly string[], entryAddress: string, entry: ChildProcess): Promise<string> {
   const direct = await runLoad({ ...round, addresses: engines })
   const before = await usageOf(entry)
   let usageWhileOpen = before
-  const via = await runLoad({ ...round, addresses: [entryAddress] }, async () => { usageWhileOpen = await usageOf(entry) })
+  const relayed = await runLoad({ ...round, addresses: [entryAddress] }, async () => { usageWhileOpen = await usageOf(entry) })
   const after = await usageOf(entry)
   const cpuSeconds = (after.cpuMicros - before.cpuMicros) / 1e6
   const kibPerStream = (usageWhileOpen.rss - before.rss) / BYTES_PER_KIB / round.streams
   const cells = [
     round.streams,
     Math.round(round.streams * 1000 / round.intervalMs),
-    `${formatMs(direct.firstToken.getValueAtPercentile(95))} / ${formatMs(via.firstToken.getValueAtPercentile(95))}`,
-    formatAdded(via, direct, 'firstToken', 50),
-    formatAdded(via, direct, 'firstToken', 95),
-    formatAdded(via, direct, 'perChunk', 50),
-    formatAdded(via, direct, 'perChunk', 95),
-    Math.round(via.chunks / cpuSeconds),
+    `${formatMs(direct.firstToken.getValueAtPercentile(95))} / ${formatMs(relayed.firstToken.getValueAtPercentile(95))}`,
+    formatAdded(relayed, direct, 'firstToken', 50),
+    formatAdded(relayed, direct, 'firstToken', 95),
+    formatAdded(relayed, direct, 'perChunk', 50),
+    formatAdded(relayed, direct, 'perChunk', 95),
+    Math.round(relayed.chunks / cpuSeconds),
     round.streams < 100 ? '' : Math.round(kibPerStream),
-    via.broken + direct.broken
+    relayed.broken + direct.broken
   ]
   return `| ${cells.join(' | ')} |`
 }
