--- a/scripts/fleet/callers.ts
+++ b/scripts/fleet/callers.ts
@@ -180,13 +180,13 @@
   const sendFloodCall = (team: string): void => {
     track(complete(team, pickModel(), 'again and again and again'))
   }
-  const scheduleRepeatedly = (meanGapMs: () => number, action: () => void): void => {
+  const scheduleRepeatedly = (meanIntervalMs: () => number, action: () => void): void => {
     const next = (): void => {
       if (!isRunning) return
       action()
-      setTimeout(next, random.exponential(meanGapMs()))
+      setTimeout(next, random.exponential(meanIntervalMs()))
     }
-    setTimeout(next, random.exponential(meanGapMs()))
+    setTimeout(next, random.exponential(meanIntervalMs()))
   }
 
   return {
