--- a/bench/allowance/index.ts
+++ b/bench/allowance/index.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- allowance`: allowances counted over nine instances, beside a static split and a central
- * bucket; and the queue's fairness. Virtual time; the product's own code over a network and a store in memory.
+ * `npm run bench -- allowance`: compares allowances shared by nine instances with a static split and a central bucket, and
+ * measures the fairness of the queue. Runs the product's code in virtual time with an in-memory network and store.
  */
 import { parseArgs } from 'node:util'
 import { DISCIPLINES, runFairness } from './fairness'
@@ -17,7 +17,7 @@
   const { values } = parseArgs({ args: [...args], options: { seeds: { type: 'string' } } })
   const seeds = values.seeds === undefined ? SEEDS : values.seeds.split(',').map(Number)
   print(`seeds ${seeds.join(', ')}; ${HEALTHY_MS / 1000} s with the store, ${DOWN_MS / 1000} s without`)
-  print('| policy | phase | requests | refused | wrongful | of teams within rate | flood got of its rate | overspend | store calls | peer messages | decision p50, p99 ms |')
+  print('| policy | phase | requests | refused | wrongful | of teams within rate | flooding team, part of its rate | overspend | store calls | peer messages | decision p50, p99 ms |')
   print('|---|---|---|---|---|---|---|---|---|---|---|')
   for (const policy of Object.keys(POLICIES) as PolicyName[]) {
     const runs: Outcome[][] = []
@@ -37,7 +37,7 @@
 
 function rowOf (outcomes: readonly Outcome[]): string {
   const sum = (of: (outcome: Outcome) => number): number => outcomes.reduce((total, outcome) => total + of(outcome), 0)
-  const most = (of: (outcome: Outcome) => number): number => Math.max(...outcomes.map(of))
+  const max = (of: (outcome: Outcome) => number): number => Math.max(...outcomes.map(of))
   const share = (part: number, whole: number): string => `${part} (${(100 * part / whole).toFixed(3)} %)`
   const requests = sum(outcome => outcome.requests)
   const cells = [
@@ -47,11 +47,11 @@
     sum(outcome => outcome.refused),
     share(sum(outcome => outcome.wrongful), requests),
     share(sum(outcome => outcome.wrongfulWithinRate), sum(outcome => outcome.withinRate)),
-    `${(100 * sum(outcome => outcome.floodPart) / outcomes.length).toFixed(1)} %`,
-    most(outcome => outcome.overspend).toFixed(3),
+    `${(100 * sum(outcome => outcome.floodRatio) / outcomes.length).toFixed(1)} %`,
+    max(outcome => outcome.overspend).toFixed(3),
     sum(outcome => outcome.storeCalls),
     sum(outcome => outcome.peerMessages),
-    `${most(outcome => outcome.p50Ms).toFixed(1)}, ${most(outcome => outcome.p99Ms).toFixed(1)}`
+    `${max(outcome => outcome.p50Ms).toFixed(1)}, ${max(outcome => outcome.p99Ms).toFixed(1)}`
   ]
   return `| ${cells.join(' | ')} |`
 }
--- a/bench/capacity/sample.ts
+++ b/bench/capacity/sample.ts
@@ -1,12 +1,12 @@
-/** What one process uses, read from the kernel's own counters. */
+/** Resource use of one process, read from the kernel's counters. */
 import { readFileSync } from 'node:fs'
 
 export interface ProcessSample {
   atMs: number
-  /** Processor time since its start, milliseconds. */
+  /** Processor time since the start of the process, in milliseconds. */
   cpuMs: number
   rssMiB: number
-  /** Bytes read and written by system calls since its start: sockets, and the log. */
+  /** Bytes read and written by system calls since the start of the process: sockets and the log. */
   bytes: number
 }
 
@@ -30,17 +30,17 @@
   return Number(new RegExp(`${label}\\s+(\\d+)`).exec(text)?.[1] ?? 0)
 }
 
-export interface Use {
-  /** Share of one core. */
-  core: number
+export interface ResourceUse {
+  /** Fraction of one core. */
+  coreRatio: number
   rssMiB: number
   bytesPerSecond: number
 }
 
-export function useBetween (before: ProcessSample, after: ProcessSample): Use {
+export function resourceUseBetween (before: ProcessSample, after: ProcessSample): ResourceUse {
   const seconds = (after.atMs - before.atMs) / 1000
   return {
-    core: (after.cpuMs - before.cpuMs) / 1000 / seconds,
+    coreRatio: (after.cpuMs - before.cpuMs) / 1000 / seconds,
     rssMiB: after.rssMiB,
     bytesPerSecond: (after.bytes - before.bytes) / seconds
   }
--- a/bench/relay/index.ts
+++ b/bench/relay/index.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- relay`: what the entry adds to a stream, against the same calls sent straight to the
- * engine in the same run. Engines and the entry are processes of their own, on loopback.
+ * `npm run bench -- relay`: measures the latency that the entry server adds to a stream, compared with the same calls sent
+ * directly to the engine in the same run. Engines and the entry server are separate processes on loopback.
  */
 import { fork } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
@@ -8,14 +8,14 @@
 import type { AddressInfo } from 'node:net'
 import { fileURLToPath } from 'node:url'
 import { runLoad } from './load'
-import type { LoadOptions, Measured } from './load'
+import type { LoadOptions, LoadResult } from './load'
 import type { Usage } from './entryProcess'
 import { runWrites } from './writes'
 
 type Round = Omit<LoadOptions, 'addresses'>
 
 const ENGINES = 2
-/** The last two carry 20,000 events a second, if the entry keeps up. */
+/** The last two rounds send 20,000 events per second if the entry server keeps up. */
 const ROUNDS: readonly Round[] = [
   { streams: 1, chunks: 150, intervalMs: 20, rampMs: 0 },
   { streams: 100, chunks: 100, intervalMs: 40, rampMs: 2000 },
@@ -47,36 +47,36 @@
   return await answer
 }
 
-const ms = (micros: number): string => (micros / 1000).toFixed(2)
+const formatMs = (micros: number): string => (micros / 1000).toFixed(2)
 
-function added (via: Measured, direct: Measured, which: 'firstToken' | 'perChunk', percentile: number): string {
-  return ms(via[which].getValueAtPercentile(percentile) - direct[which].getValueAtPercentile(percentile))
+function formatAdded (relayed: LoadResult, direct: LoadResult, metric: 'firstToken' | 'perChunk', percentile: number): string {
+  return formatMs(relayed[metric].getValueAtPercentile(percentile) - direct[metric].getValueAtPercentile(percentile))
 }
 
 async function runRound (round: Round, engines: readonly string[], entryAddress: string, entry: ChildProcess): Promise<string> {
   const direct = await runLoad({ ...round, addresses: engines })
   const before = await usageOf(entry)
-  let whenOpen = before
-  const via = await runLoad({ ...round, addresses: [entryAddress] }, async () => { whenOpen = await usageOf(entry) })
+  let usageWhileOpen = before
+  const relayed = await runLoad({ ...round, addresses: [entryAddress] }, async () => { usageWhileOpen = await usageOf(entry) })
   const after = await usageOf(entry)
   const cpuSeconds = (after.cpuMicros - before.cpuMicros) / 1e6
-  const kibPerStream = (whenOpen.rss - before.rss) / BYTES_PER_KIB / round.streams
+  const kibPerStream = (usageWhileOpen.rss - before.rss) / BYTES_PER_KIB / round.streams
   const cells = [
     round.streams,
     Math.round(round.streams * 1000 / round.intervalMs),
-    `${ms(direct.firstToken.getValueAtPercentile(95))} / ${ms(via.firstToken.getValueAtPercentile(95))}`,
-    added(via, direct, 'firstToken', 50),
-    added(via, direct, 'firstToken', 95),
-    added(via, direct, 'perChunk', 50),
-    added(via, direct, 'perChunk', 95),
-    Math.round(via.chunks / cpuSeconds),
+    `${formatMs(direct.firstToken.getValueAtPercentile(95))} / ${formatMs(relayed.firstToken.getValueAtPercentile(95))}`,
+    formatAdded(relayed, direct, 'firstToken', 50),
+    formatAdded(relayed, direct, 'firstToken', 95),
+    formatAdded(relayed, direct, 'perChunk', 50),
+    formatAdded(relayed, direct, 'perChunk', 95),
+    Math.round(relayed.chunks / cpuSeconds),
     round.streams < 100 ? '' : Math.round(kibPerStream),
-    via.broken + direct.broken
+    relayed.broken + direct.broken
   ]
   return `| ${cells.join(' | ')} |`
 }
 
-/** `--only writes` leaves the streams out, `--only streams` the claims. */
+/** `--only writes` skips the streams, `--only streams` the claims. */
 export async function run (args: readonly string[]): Promise<void> {
   const only = args[args.indexOf('--only') + 1]
   if (only !== 'streams') await runWrites()
@@ -95,7 +95,7 @@
   const entryAddress = `127.0.0.1:${entryPort}`
   await runLoad({ addresses: [entryAddress], streams: 50, chunks: 100, intervalMs: 5, rampMs: 100 })
 
-  process.stdout.write('| streams | events/s asked | first token p95 direct / via, ms | added p50 | added p95 | per event added p50 | p95 | events per core-second | KiB a stream | broken |\n')
+  process.stdout.write('| streams | events/s requested | first token p95 direct / relayed, ms | added p50 | added p95 | per event added p50 | p95 | events per core-second | KiB per stream | broken |\n')
   process.stdout.write('|---|---|---|---|---|---|---|---|---|---|\n')
   for (const round of ROUNDS) process.stdout.write(`${await runRound(round, engines, entryAddress, entry)}\n`)
   ;[...engineProcesses, entry].forEach(child => child.kill())
--- a/scripts/docLinks.ts
+++ b/scripts/docLinks.ts
@@ -1,8 +1,8 @@
-/** Finds links in the documents whose file or heading is not there. */
+/** Finds links in the documents whose target file or heading does not exist. */
 import { existsSync, readFileSync, readdirSync } from 'node:fs'
 import { dirname, join, relative } from 'node:path'
 
-const SKIPPED = new Set(['node_modules', 'dist', '.git', 'coverage'])
+const SKIPPED_DIRECTORIES = new Set(['node_modules', 'dist', '.git', 'coverage'])
 const LINK = /\[[^\]]*\]\(([^)\s]+)\)/g
 const CODE_BLOCK = /^```[\s\S]*?^```/gm
 const HEADING = /^#+\s+(.+)$/gm
@@ -12,16 +12,16 @@
   target: string
 }
 
-/** Every Markdown file under `root`. */
+/** Returns every Markdown file under `root`. */
 export function findDocuments (root: string): string[] {
   return readdirSync(root, { withFileTypes: true }).flatMap(entry => {
     const path = join(root, entry.name)
-    if (entry.isDirectory()) return SKIPPED.has(entry.name) ? [] : findDocuments(path)
+    if (entry.isDirectory()) return SKIPPED_DIRECTORIES.has(entry.name) ? [] : findDocuments(path)
     return entry.name.endsWith('.md') ? [path] : []
   })
 }
 
-/** Links to other places than files of the repository are left alone. */
+/** Returns the links to missing files or headings; links with a URL scheme are not checked. */
 export function findBrokenLinks (root: string): BrokenLink[] {
   return findDocuments(root).flatMap(file => {
     const targets = [...readFileSync(file, 'utf8').replace(CODE_BLOCK, '').matchAll(LINK)].map(match => match[1]!)
@@ -33,9 +33,9 @@
 
 function resolves (file: string, target: string): boolean {
   const [path = '', anchor] = target.split('#', 2)
-  const wanted = path === '' ? file : join(dirname(file), path)
-  if (!existsSync(wanted)) return false
-  return anchor === undefined || anchorsOf(wanted).includes(anchor)
+  const targetFile = path === '' ? file : join(dirname(file), path)
+  if (!existsSync(targetFile)) return false
+  return anchor === undefined || anchorsOf(targetFile).includes(anchor)
 }
 
 function anchorsOf (file: string): string[] {
