--- a/packages/magnoliabay/src/node/serving/placement/engineOrders.ts
+++ b/packages/magnoliabay/src/node/serving/placement/engineOrders.ts
@@ -16,7 +16,10 @@
 import type { LeaderElection } from './leaderElection'
 import type { WeightTier } from './plan'
 
-/** Reports lag by some hundred milliseconds and each has a cost, so that more frequent requests return nothing new. */
+/**
+ * Reports lag by some hundred milliseconds, so more frequent ones would show nothing new, and the platform charges for
+ * each.
+ */
 const REPORT_INTERVAL_MS = 250
 /** An unload takes less than this if no request is running on the model. */
 const EXPECTED_UNLOAD_MS = 100
--- a/packages/magnoliabay/src/node/serving/placement/engineTracker.ts
+++ b/packages/magnoliabay/src/node/serving/placement/engineTracker.ts
@@ -32,7 +32,7 @@
   staleSinceMs?: number
 }
 
-/** Reports lag by some hundred milliseconds; a count that stays too low for longer means that the engine restarted. */
+/** Reports lag by some hundred milliseconds; a count that stays too low for much longer means a restart. */
 const MAX_REPORT_LAG_MS = 2000
 
 export interface EngineTracker {
--- a/packages/magnoliabay/src/node/serving/storeWatches.ts
+++ b/packages/magnoliabay/src/node/serving/storeWatches.ts
@@ -39,7 +39,7 @@
   readsStore: () => boolean
   /** Whether this instance watches for a leader that cannot reach the store. */
   isProxy: () => boolean
-  /** Whether orders have been sent that have not ended. */
+  /** Whether this instance awaits the end of any order to an engine. */
   hasPendingOrders: () => boolean
 }
 
--- a/packages/magnoliabay/src/node/store/prefixWatches.ts
+++ b/packages/magnoliabay/src/node/store/prefixWatches.ts
@@ -11,7 +11,10 @@
 
 /** How long after the requested wait a response may still arrive, in milliseconds. */
 const WATCH_GRACE_MS = 1000
-/** Delay after a failed call, in milliseconds; doubled after each further one, since refused calls count against the limit as well. */
+/**
+ * Delay after a failed call, in milliseconds; doubled after each further one, since the platform charges for refused
+ * calls as well.
+ */
 const MIN_RETRY_DELAY_MS = 300
 const MAX_RETRY_DELAY_MS = 1200
 /** Interval at which a paused watch checks whether it is enabled or the store is back, in milliseconds. Each check wakes the process. */
