--- a/packages/magnoliabay/src/node/cells/autoscaler.ts
+++ b/packages/magnoliabay/src/node/cells/autoscaler.ts
@@ -1,4 +1,7 @@
-/** Reads the load of the engines periodically, publishes it, and computes how many replicas each model needs. */
+/**
+ * Reads the load reports of the engines periodically, publishes the loads, and computes how many replicas each model
+ * needs. The reports lag behind the current load.
+ */
 import { loadedReplicas } from './engineAccount'
 import type { EngineAccount } from './engineAccount'
 import type { CellLeaderContext } from './context'
--- a/packages/magnoliabay/src/node/cells/intents.ts
+++ b/packages/magnoliabay/src/node/cells/intents.ts
@@ -35,7 +35,7 @@
 const MIN_PEER_COPIES = 2
 /** Each intent is in two domains, so every intent is found even if one whole domain does not answer. */
 const MAX_SILENT_DOMAINS = 1
-/** Members of one domain that are asked in turn until one holds the intent. */
+/** Most members of one domain that are asked, in turn, before the domain counts as not holding the intent. */
 const MAX_ATTEMPTS_PER_DOMAIN = 3
 const MAX_DELETES_PER_BATCH = 64
 
--- a/packages/magnoliabay/src/node/cells/records.ts
+++ b/packages/magnoliabay/src/node/cells/records.ts
@@ -104,7 +104,7 @@
   adapters: Readonly<Record<string, number>>
 }
 
-/** Last read load of a cell's engines: requests that run or wait, by engine. */
+/** Last read load of a cell's engines, which lags behind the current one: requests that run or wait, by engine. */
 export interface LoadNotice {
   cell: string
   loads: Readonly<Record<string, number>>
