--- a/packages/magnoliabay/src/node/backend/relayConnection.ts
+++ b/packages/magnoliabay/src/node/backend/relayConnection.ts
@@ -27,7 +27,7 @@
   status: number
   /** The request was certainly not run, not even in part. */
   isNotRun: boolean
-  /** Only this connection may be faulty, and not the engine. */
+  /** The fault may lie in this connection alone, and not in the engine: a new connection may work. */
   isConnectionSuspect: boolean
   /** The engine may still be running the request, though its response is no longer read. */
   isLeftRunning: boolean
