--- a/packages/magnoliabay/src/node/outcomes/suspects.ts
+++ b/packages/magnoliabay/src/node/outcomes/suspects.ts
@@ -10,7 +10,10 @@
 import type { CrashCheck } from './crashCheck'
 import { createMutex } from './mutex'
 
-/** `suspect`: was running when one engine died, so it runs in isolation. `refused`: was running when two died, so it never runs again. */
+/**
+ * `suspect`: was running when an engine died, so it runs in isolation. `refused`: was running at `refuseAfterCrashes`
+ * crashes, so it is not run again.
+ */
 export type SuspectAssessment = 'clear' | 'suspect' | 'refused'
 
 export interface Suspects {
