--- a/packages/magnoliabay/src/node/commands/operatorCliCommands.ts
+++ b/packages/magnoliabay/src/node/commands/operatorCliCommands.ts
@@ -190,7 +190,7 @@
 
 function formatExplanation ({ kind, id, events, unheard }: Explanation): string {
   const lines = events.map(({ atMs, instance, event, fields }) => {
-    const { instance: _own, ...others } = fields
+    const { instance: _instance, ...others } = fields
     return `${new Date(atMs).toISOString()} ${instance} ${event} ${formatLogFields(others)}`
   })
   const none = events.length === 0 ? [`No instance has decisions about ${kind} ${id}; each keeps only its last few thousand.`] : []
--- a/packages/magnoliabay/src/node/logSink.ts
+++ b/packages/magnoliabay/src/node/logSink.ts
@@ -3,7 +3,7 @@
  *
  * Node writes to a pipe synchronously: a reader that stops would block the whole process in the middle of a request.
  * Lines are therefore written through the thread pool, one write at a time. Lines that arrive while the buffer is full
- * are dropped and counted, and the count is written as soon as there is room.
+ * are dropped and counted; the count is logged once a write has completed.
  */
 import { write as writeFile } from 'node:fs'
 import { delayToNextPeriod } from './clock'
@@ -16,7 +16,7 @@
   write?: (text: string, done: () => void) => void
   /** Lines per second on average; warnings and errors may use three times as many. @default 200 */
   linesPerSecond?: number
-  /** Most characters buffered for writing. @default 262144 */
+  /** Maximum number of characters buffered for writing. @default 262144 */
   maxBufferedCharacters?: number
 }
 
@@ -31,12 +31,12 @@
 /** One line for each request and decision is some 30 lines per second for an instance under heavy load. */
 const DEFAULT_LINES_PER_SECOND = 200
 const DEFAULT_MAX_BUFFERED_CHARACTERS = 262_144
-/** Multiple of the rate for warnings and errors, which matter most when a fault is investigated. */
+/** Factor by which the rate is higher for warnings and errors, which matter most when a fault is investigated. */
 const WARNING_RATE_FACTOR = 3
 const BURST_SECONDS = 2
 const STANDARD_OUTPUT = 1
 const MS_PER_SECOND = 1000
-const FLUSH_POLL_MS = 10
+const FLUSH_POLL_INTERVAL_MS = 10
 /** Longest time that lines are buffered before a write, milliseconds: each write wakes the process twice. */
 const WRITE_INTERVAL_MS = 250
 /** Buffered characters at which a write starts at once. */
@@ -61,7 +61,7 @@
     budget = Math.min(maxBudget, budget + (now - refilledMs) / MS_PER_SECOND * linesPerSecond * WARNING_RATE_FACTOR)
     refilledMs = now
   }
-  const hasRoomFor = (level: LogLevel, line: string): boolean => {
+  const isWithinLimits = (level: LogLevel, line: string): boolean => {
     refill()
     const isWarning = level === 'warn' || level === 'error'
     return budget >= (isWarning ? 1 : warningReserve + 1) && buffer.length + line.length <= maxBufferedCharacters
@@ -95,7 +95,7 @@
   const isIdle = (): boolean => !isWriting && buffer === ''
   return {
     write: (line, level) => {
-      if (!hasRoomFor(level, line)) {
+      if (!isWithinLimits(level, line)) {
         dropped += 1
         unreportedDrops += 1
         return
@@ -110,7 +110,7 @@
       const endMs = clock.monotonic() + timeoutMs
       writeBuffer()
       while (!isIdle() && clock.monotonic() < endMs) {
-        await new Promise<void>(resolve => { clock.schedule(FLUSH_POLL_MS, resolve) })
+        await new Promise<void>(resolve => { clock.schedule(FLUSH_POLL_INTERVAL_MS, resolve) })
         writeBuffer()
       }
     }
--- a/packages/magnoliabay/src/node/logTrace.ts
+++ b/packages/magnoliabay/src/node/logTrace.ts
@@ -70,32 +70,32 @@
 /** Finds the lines of the request `id`, the events related to it, and its cause. */
 export function traceRequest (lines: readonly string[], id: string): Trace {
   const entries = lines.flatMap(line => parseLogLine(line) ?? []).sort((left, right) => left.time < right.time ? -1 : 1)
-  const own = entries.filter(entry => entry.fields.get('request') === id)
-  const last = own.at(-1)
+  const requestEntries = entries.filter(entry => entry.fields.get('request') === id)
+  const last = requestEntries.at(-1)
   const reason = last?.fields.get('reason')
   return {
-    requestEntries: own,
-    relatedEntries: own.length === 0 ? [] : entries.filter(entry => isRelated(entry, own)),
+    requestEntries,
+    relatedEntries: requestEntries.length === 0 ? [] : entries.filter(entry => isRelated(entry, requestEntries)),
     cause: reason === undefined ? undefined : (REFUSAL_REASON_DESCRIPTIONS as Readonly<Record<string, string>>)[reason],
-    gaps: findGaps(entries, own, id)
+    gaps: findGaps(entries, requestEntries, id)
   }
 }
 
-function isRelated (entry: LogEntry, own: readonly LogEntry[]): boolean {
-  const last = own.at(-1)!
+function isRelated (entry: LogEntry, requestEntries: readonly LogEntry[]): boolean {
+  const last = requestEntries.at(-1)!
   const tookMs = Number(last.fields.get('tookMs') ?? 0)
   const ageMs = Date.parse(last.time) - Date.parse(entry.time)
   if (ageMs < 0 || ageMs > tookMs + MAX_EVENT_AGE_MS) return false
   if (LEADER_EVENTS.has(entry.event)) return last.fields.has('model')
-  const values = (field: string): Array<string | undefined> => own.map(each => each.fields.get(field))
+  const values = (field: string): Array<string | undefined> => requestEntries.map(each => each.fields.get(field))
   return (RELATED_EVENT_FIELDS[entry.event] ?? []).some(field => values(field).includes(entry.fields.get(field) ?? '\0'))
 }
 
-function findGaps (entries: readonly LogEntry[], own: readonly LogEntry[], id: string): string[] {
-  if (own.length === 0) return [`No line names request ${id}: it reached no instance whose log was given, or its lines were left out.`]
-  const ended = own.some(entry => entry.event === 'request-ended' || entry.event === 'request-refused')
-  const instances = new Set(own.map(entry => entry.instance))
-  const restarts = entries.filter(entry => entry.event === 'instance-started' && instances.has(entry.instance) && entry.time > own.at(-1)!.time)
+function findGaps (entries: readonly LogEntry[], requestEntries: readonly LogEntry[], id: string): string[] {
+  if (requestEntries.length === 0) return [`No line names request ${id}: it reached no instance whose log was given, or its lines were left out.`]
+  const ended = requestEntries.some(entry => entry.event === 'request-ended' || entry.event === 'request-refused')
+  const instances = new Set(requestEntries.map(entry => entry.instance))
+  const restarts = entries.filter(entry => entry.event === 'instance-started' && instances.has(entry.instance) && entry.time > requestEntries.at(-1)!.time)
   const leftOut = entries.some(entry => entry.event === 'log-lines-left-out')
   return [
     ...(ended ? [] : ['No line shows how the request ended.']),
--- a/packages/magnoliabay/src/node/operators/commands.ts
+++ b/packages/magnoliabay/src/node/operators/commands.ts
@@ -27,11 +27,11 @@
   /** Takes effect on every reachable instance at once, also while the store is unavailable; then the store is written. */
   withdrawKey (keyId: string, operator: string): Promise<Result<CallerKeyRecord, OperatorError>>
   applyConfig (req: ApplyRequest): Promise<Result<Manifest, OperatorError>>
-  /** Makes the instance leave `locate` and hand over what it holds; its process continues. */
+  /** Makes the instance leave `locate` and resign as leader of its cells; its process continues. */
   drain (instance: string, operator: string): Promise<Result<{ instance: string }, OperatorError>>
   /**
    * Accepts an operator's statement that a process has terminated: its cells and its shares of allowances go to others.
-   * If the process still runs, there may be two leaders of a cell or two holders of a share; the call is therefore audited.
+   * If the process still runs, two instances may lead the same cell or spend the same share; the call is therefore audited.
    */
   declareGone (process: DeclaredProcess, operator: string): Promise<Result<DeclaredProcess, OperatorError>>
 }
@@ -70,7 +70,7 @@
     deleteOldAuditRecords(store)
     return Ok(key)
   }
-  /** Waits for the team to become active: another instance may just have accepted it. */
+  /** Returns whether the team is active, and first waits for it: another instance may just have accepted it. */
   const isTeamActive = async (team: string): Promise<boolean> => {
     const startedMs = clock.monotonic()
     while (options.cfg.team(team) === undefined && clock.monotonic() - startedMs < TEAM_TIMEOUT_MS) await sleep(clock, TEAM_POLL_INTERVAL_MS)
--- a/packages/magnoliabay/src/node/operators/decisionLog.ts
+++ b/packages/magnoliabay/src/node/operators/decisionLog.ts
@@ -25,12 +25,12 @@
 export interface DecisionLogOptions {
   instance: string
   clock: Clock
-  /** Most events kept; each takes some 300 bytes. @default 5000 */
+  /** Maximum number of events kept; each takes some 300 bytes. @default 5000 */
   capacity?: number
 }
 
 const DEFAULT_CAPACITY = 5000
-/** Most events in a reply over a peer link; the newest ones are returned. */
+/** Maximum number of events in a reply over a peer link; the newest ones are returned. */
 const MAX_EVENTS_RETURNED = 200
 
 export function createDecisionLog (options: DecisionLogOptions): DecisionLog {
@@ -60,8 +60,8 @@
   return {
     wrapLogger: logger => wrap(logger, {}),
     eventsAbout: (kind, id) => {
-      const own = eventsInOrder().filter(({ fields }) => fields[kind] === id)
-      return own.slice(-MAX_EVENTS_RETURNED)
+      const matching = eventsInOrder().filter(({ fields }) => fields[kind] === id)
+      return matching.slice(-MAX_EVENTS_RETURNED)
     }
   }
 }
--- a/packages/magnoliabay/src/node/operators/drain.ts
+++ b/packages/magnoliabay/src/node/operators/drain.ts
@@ -1,4 +1,4 @@
-/** Takes one instance out of service without stopping it: callers move to others, and it hands over what it holds. */
+/** Takes one instance out of service without stopping it: callers and its cells move to others. */
 import type { Logger } from '../logger'
 import { definePeerCall } from '../members'
 import type { PeerError, Peers } from '../members'
@@ -7,7 +7,7 @@
 export interface DrainOptions {
   peers: Peers
   logger: Logger
-  /** Leaves `locate` and hands over; does nothing if this instance has done so already. */
+  /** Leaves `locate`, resigns as leader of its cells and transfers its SLO counts; does nothing if this instance has done so already. */
   leave: () => Promise<void>
 }
 
--- a/packages/magnoliabay/src/node/operators/explain.ts
+++ b/packages/magnoliabay/src/node/operators/explain.ts
@@ -37,20 +37,20 @@
   }
   return {
     explain: async (kind, id) => {
-      const own = await queryAllInstances(kind, id)
-      const model = own.events.map(({ fields }) => fields.model).find(name => typeof name === 'string')
-      if (kind !== 'request' || model === undefined) return { kind, id, ...own }
+      const found = await queryAllInstances(kind, id)
+      const model = found.events.map(({ fields }) => fields.model).find(name => typeof name === 'string')
+      if (kind !== 'request' || model === undefined) return { kind, id, ...found }
       const modelEvents = await queryAllInstances('model', String(model))
-      return { kind, id, events: sortByTime([...own.events, ...eventsDuring(modelEvents.events, own.events)]), unheard: own.unheard }
+      return { kind, id, events: sortByTime([...found.events, ...eventsDuring(modelEvents.events, found.events)]), unheard: found.unheard }
     }
   }
 }
 
-/** Returns the events that fall in the time of the request: cell leaders on any instance may decide about its model. */
-function eventsDuring (events: readonly DecisionEvent[], own: readonly DecisionEvent[]): DecisionEvent[] {
-  const endMs = own.at(-1)!.atMs
-  const tookMs = own.map(({ fields }) => Number(fields.tookMs ?? 0)).reduce((most, ms) => Math.max(most, ms), 0)
-  const startMs = Math.min(own[0]!.atMs, endMs - tookMs)
+/** Returns the events during the request, since cell leaders on any instance may decide about its model meanwhile. */
+function eventsDuring (events: readonly DecisionEvent[], requestEvents: readonly DecisionEvent[]): DecisionEvent[] {
+  const endMs = requestEvents.at(-1)!.atMs
+  const tookMs = requestEvents.map(({ fields }) => Number(fields.tookMs ?? 0)).reduce((longestMs, ms) => Math.max(longestMs, ms), 0)
+  const startMs = Math.min(requestEvents[0]!.atMs, endMs - tookMs)
   return events.filter(({ atMs, fields }) => fields.request === undefined && atMs >= startMs - MAX_CLOCK_DIFFERENCE_MS && atMs <= endMs + MAX_CLOCK_DIFFERENCE_MS)
 }
 
--- a/packages/magnoliabay/src/node/operators/queries.ts
+++ b/packages/magnoliabay/src/node/operators/queries.ts
@@ -52,7 +52,7 @@
   entries: readonly ConfigEntry[]
 }
 
-/** Most entries in a response: a fleet may have 80,000 adapters. */
+/** Maximum number of entries in a response: a fleet may have 80,000 adapters. */
 const MAX_ENTRIES = 1000
 
 const ENTRY_LOOKUPS: Record<EntryKind, (cfg: ConfigProvider, name: string) => ConfigEntry | undefined> = {
--- a/packages/magnoliabay/src/node/shutdown.ts
+++ b/packages/magnoliabay/src/node/shutdown.ts
@@ -1,8 +1,8 @@
 /**
  * Shuts an instance down in an order that cuts no request:
- * 1. it is no longer ready and leaves `locate`; 2. it hands its cells and shares over; 3. it serves callers that still
- * have its address until `locateKeepMs` has passed; 4. it accepts no more connections and finishes all open responses;
- * 5. it stops.
+ * 1. it is no longer ready and leaves `locate`; 2. it resigns as leader of its cells and transfers its SLO counts; 3. it
+ * serves callers that still have its address until `locateKeepMs` has passed; 4. it accepts no more connections and
+ * finishes all open responses; 5. it hands its shares of allowances over and stops.
  */
 import { createMachine, interpret, state, transition } from 'robot3'
 import type { Clock } from './clock'
