--- a/packages/standins/src/node/fleet.ts
+++ b/packages/standins/src/node/fleet.ts
@@ -45,7 +45,7 @@
   ports?: FleetPorts
   /** @default 'region-1' */
   region?: string
-  /** Failure domains over which engines and services are spread round-robin. @default ['zone-a', 'zone-b', 'zone-c'] */
+  /** Failure domains, assigned to engines and services round-robin. @default ['zone-a', 'zone-b', 'zone-c'] */
   failureDomains?: readonly string[]
   /** A count, or the options of each. @default 3 */
   engines?: number | readonly FleetEngineOptions[]
--- a/packages/standins/src/node/kv/history.ts
+++ b/packages/standins/src/node/kv/history.ts
@@ -37,7 +37,7 @@
     },
     publish: (revision, events) => {
       pastEvents.push(...events)
-      // Trimmed only at twice the limit, so that the cost is spread over many writes.
+      // Trimmed only at twice the limit, so that only one of many writes bears the cost.
       if (pastEvents.length > limit * 2) compact(pastEvents[pastEvents.length - limit]?.entry.modRevision ?? revision)
       for (const watcher of [...watchers]) {
         const matching = events.filter(event => inRange(watcher.range, event.entry.key))
--- a/packages/standins/src/node/metadataStore/index.ts
+++ b/packages/standins/src/node/metadataStore/index.ts
@@ -21,7 +21,7 @@
   silent: boolean
   /** Writes take effect, then the connection is cut. */
   loseAnswers: boolean
-  /** Watches are answered 410: their history is gone. */
+  /** Watches are answered with status 410, as when the events that they start from are no longer kept. */
   forgetHistory: boolean
 }
 
--- a/packages/standins/src/node/weights/index.ts
+++ b/packages/standins/src/node/weights/index.ts
@@ -53,9 +53,9 @@
 const DEFAULT_LOAD_MS_PER_GIB = 250
 const DEFAULT_FULL_SPEED_ADAPTERS = 30
 const MIN_ADAPTER_LOAD_MS = 5
-const ADAPTER_LOAD_SPREAD_MS = 10
+const ADAPTER_LOAD_VARIATION_MS = 10
 /** Full width of the random variation of load times, as a ratio of the load time. */
-const LOAD_TIME_SPREAD_RATIO = 0.2
+const LOAD_TIME_VARIATION_RATIO = 0.2
 const MIB_PER_GIB = 1024
 const MS_PER_SECOND = 1000
 
@@ -92,12 +92,12 @@
       await waitForStart(signal)
       const record: WeightLoadRecord = { model, engine, askedAtMs, startedAtMs: clock.now(), completed: false }
       records.push(record)
-      const variation = 1 + (random() - 0.5) * LOAD_TIME_SPREAD_RATIO
+      const variation = 1 + (random() - 0.5) * LOAD_TIME_VARIATION_RATIO
       record.completed = await models.run(memoryMiB * msPerMiB * variation, signal)
       record.endedAtMs = clock.now()
       return record.completed
     },
-    loadAdapter: signal => adapters.run(MIN_ADAPTER_LOAD_MS + random() * ADAPTER_LOAD_SPREAD_MS, signal),
+    loadAdapter: signal => adapters.run(MIN_ADAPTER_LOAD_MS + random() * ADAPTER_LOAD_VARIATION_MS, signal),
     waiting: () => waiting,
     inFlight: () => models.inFlight(),
     records: () => records
