--- a/bench/allowance/fairness.ts
+++ b/bench/allowance/fairness.ts
@@ -38,7 +38,7 @@
   const slots = isAlone ? SLOTS / TEAM_NAMES.length : SLOTS
   const refused = await Promise.all(groups.map(teams => runQueue(discipline, createJobs(teams, seed), slots, waits)))
   const others = TEAM_NAMES.filter(team => team !== 'flood').map(team => ({ team, p95: percentile(waits.get(team)!, 0.95) }))
-  const worst = others.reduce((most, team) => team.p95 > most.p95 ? team : most)
+  const worst = others.reduce((slowest, team) => team.p95 > slowest.p95 ? team : slowest)
   return { name: discipline, worstP95Ms: worst.p95, worstTeam: worst.team, refused: refused.reduce((sum, count) => sum + count, 0) }
 }
 
--- a/bench/allowance/index.ts
+++ b/bench/allowance/index.ts
@@ -38,15 +38,15 @@
 function rowOf (outcomes: readonly Outcome[]): string {
   const sum = (of: (outcome: Outcome) => number): number => outcomes.reduce((total, outcome) => total + of(outcome), 0)
   const max = (of: (outcome: Outcome) => number): number => Math.max(...outcomes.map(of))
-  const share = (part: number, whole: number): string => `${part} (${(100 * part / whole).toFixed(3)} %)`
+  const formatRatio = (count: number, total: number): string => `${count} (${(100 * count / total).toFixed(3)} %)`
   const requests = sum(outcome => outcome.requests)
   const cells = [
     outcomes[0]!.policy,
     outcomes[0]!.phase,
     requests,
     sum(outcome => outcome.refused),
-    share(sum(outcome => outcome.wrongful), requests),
-    share(sum(outcome => outcome.wrongfulWithinRate), sum(outcome => outcome.withinRate)),
+    formatRatio(sum(outcome => outcome.wrongful), requests),
+    formatRatio(sum(outcome => outcome.wrongfulWithinRate), sum(outcome => outcome.withinRate)),
     `${(100 * sum(outcome => outcome.floodRatio) / outcomes.length).toFixed(1)} %`,
     max(outcome => outcome.overspend).toFixed(3),
     sum(outcome => outcome.storeCalls),
--- a/bench/allowance/run.ts
+++ b/bench/allowance/run.ts
@@ -141,10 +141,10 @@
     overspend: () => {
       let left = burst
       let atMs = 0
-      return spendings.reduce((most, spending) => {
+      return spendings.reduce((maxOverspend, spending) => {
         left = Math.min(burst, left + rate * (spending.atMs - atMs) / MS_PER_SECOND) - spending.tokens
         atMs = spending.atMs
-        return Math.max(most, -left)
+        return Math.max(maxOverspend, -left)
       }, 0)
     }
   }
--- a/bench/allowance/workload.ts
+++ b/bench/allowance/workload.ts
@@ -1,11 +1,11 @@
-/** Five teams, some of them large, at nine instances; a team's requests are spread unevenly, and the distribution changes over time. */
+/** Five teams, some of them large, at nine instances; a team sends more requests to some instances, and these change over time. */
 import { createRandom, exponential } from '../virtualTime'
 
 export interface BenchTeam {
   name: string
   rate: number
   burst: number
-  /** Used tokens offered, relative to the rate. */
+  /** Tokens that the requests of the team would use per second if all were answered, relative to its rate. */
   load: number
   /** Mean number of tokens that a request reserves. */
   meanTokens: number
@@ -61,8 +61,8 @@
 
 function pickPosition (random: () => number): number {
   let left = random()
-  const index = INSTANCE_RATIOS.findIndex(part => {
-    left -= part
+  const index = INSTANCE_RATIOS.findIndex(ratio => {
+    left -= ratio
     return left < 0
   })
   return index < 0 ? 0 : index
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -143,15 +143,15 @@
   return { coreRatio: worst(use => use.coreRatio), rssMiB: worst(use => use.rssMiB), bytesPerSecond: worst(use => use.bytesPerSecond) }
 }
 
-const percent = (share: number): string => `${(share * 100).toFixed(2)}%`
-const kilobytes = (bytes: number): string => `${(bytes / 1000).toFixed(1)} KB/s`
+const percent = (ratio: number): string => `${(ratio * 100).toFixed(2)}%`
+const kilobytesPerSecond = (bytes: number): string => `${(bytes / 1000).toFixed(1)} KB/s`
 
 function print (name: keyof Setup, row: Measurement): void {
   process.stdout.write([
     `${name}=${row[name]}`.padEnd(18),
     `cpu mean ${percent(row.mean.coreRatio)} worst ${percent(row.worst.coreRatio)} of a core`,
     `rss mean ${row.mean.rssMiB.toFixed(0)} worst ${row.worst.rssMiB.toFixed(0)} MiB`,
-    `bytes mean ${kilobytes(row.mean.bytesPerSecond)} worst ${kilobytes(row.worst.bytesPerSecond)}`,
+    `bytes mean ${kilobytesPerSecond(row.mean.bytesPerSecond)} worst ${kilobytesPerSecond(row.worst.bytesPerSecond)}`,
     `store reads ${row.storeReads.toFixed(2)}/s writes ${row.storeWrites.toFixed(2)}/s leases ${row.storeLeases.toFixed(2)}/s`
   ].join(' | ') + '\n')
 }
--- a/bench/capacity/sample.ts
+++ b/bench/capacity/sample.ts
@@ -56,7 +56,7 @@
   const count = points.length
   const meanX = points.reduce((sum, point) => sum + point.x, 0) / count
   const meanY = points.reduce((sum, point) => sum + point.y, 0) / count
-  const spread = points.reduce((sum, point) => sum + (point.x - meanX) ** 2, 0)
-  const slope = spread === 0 ? 0 : points.reduce((sum, point) => sum + (point.x - meanX) * (point.y - meanY), 0) / spread
+  const sumOfSquares = points.reduce((sum, point) => sum + (point.x - meanX) ** 2, 0)
+  const slope = sumOfSquares === 0 ? 0 : points.reduce((sum, point) => sum + (point.x - meanX) * (point.y - meanY), 0) / sumOfSquares
   return { slope, intercept: meanY - slope * meanX }
 }
--- a/bench/cold/engineSimulation.ts
+++ b/bench/cold/engineSimulation.ts
@@ -30,7 +30,7 @@
     weights,
     engines,
     sizeOf,
-    loadedAt: model => engines.find(engine => engine.state().models.some(held => held.model === model && held.state === 'loaded')),
+    loadedAt: model => engines.find(engine => engine.state().models.some(replica => replica.model === model && replica.state === 'loaded')),
     order: async (engine, action, model) => {
       orders += 1
       const reply = await engine.executeOrder({ orderId: `order-${orders}`, fence: 1, action, model, memoryMiB: sizeOf(model) })
--- a/bench/cold/measure.ts
+++ b/bench/cold/measure.ts
@@ -96,7 +96,7 @@
   await clock.advance(SETTLE_DURATION_MS)
   const all = [...endedLifetimes, ...atEnd]
   waits.sort((left, right) => left - right)
-  const quantile = (share: number): number => waits[Math.min(waits.length - 1, Math.floor(waits.length * share))] ?? 0
+  const quantile = (fraction: number): number => waits[Math.min(waits.length - 1, Math.floor(waits.length * fraction))] ?? 0
   const measured: Measurement = {
     name,
     wakeRequests: waits.length,
--- a/bench/cold/naive.ts
+++ b/bench/cold/naive.ts
@@ -25,7 +25,7 @@
   const freeOf = (engine: EngineStandIn): number => engine.state().memoryMiB - engine.state().usedMiB
   const keyOf = (engine: EngineStandIn, model: string): string => `${engine.id} ${model}`
   const leastRecentlyUsed = (): { engine: EngineStandIn, model: string } | undefined => engines
-    .flatMap(engine => engine.state().models.filter(held => held.state === 'loaded').map(held => ({ engine, model: held.model })))
+    .flatMap(engine => engine.state().models.filter(replica => replica.state === 'loaded').map(replica => ({ engine, model: replica.model })))
     .filter(({ engine, model }) => (inFlight.get(keyOf(engine, model)) ?? 0) === 0)
     .sort((left, right) => (lastUsed.get(left.model) ?? 0) - (lastUsed.get(right.model) ?? 0))[0]
   const load = async (instance: number, model: string): Promise<void> => {
--- a/bench/relay/load.ts
+++ b/bench/relay/load.ts
@@ -59,7 +59,7 @@
       measured.chunks += 1
     }
   }
-  const readOne = async (index: number): Promise<void> => {
+  const readStream = async (index: number): Promise<void> => {
     await pause(options.rampMs * index / options.streams)
     const res = await sendRequest(index, body)
     let isFirst = true
@@ -75,7 +75,7 @@
     }
     if (!tail.includes('[DONE]')) measured.broken += 1
   }
-  await Promise.all(Array.from({ length: options.streams }, (_, index) => readOne(index).catch(() => { measured.broken += 1 })))
+  await Promise.all(Array.from({ length: options.streams }, (_, index) => readStream(index).catch(() => { measured.broken += 1 })))
   await probing
   await agent.close()
   return measured
--- a/bench/virtualTime.ts
+++ b/bench/virtualTime.ts
@@ -1,6 +1,6 @@
 /**
- * Virtual time for benchmarks with hundreds of thousands of timers. Timers are kept in a heap, and after each timer one
- * turn of the event loop lets the work that it started continue.
+ * Virtual time for benchmarks with hundreds of thousands of timers. Timers are kept in a heap. After each timer, one
+ * turn of the event loop runs the asynchronous work that the timer started.
  */
 import type { Clock } from '../packages/magnoliabay/src/node/clock'
 
--- a/scripts/testReport.ts
+++ b/scripts/testReport.ts
@@ -1,10 +1,10 @@
 /**
- * Checks the report of a test run: every failure counts except those listed in KNOWN-RED.txt. Prints the failed tests,
- * and last the counts of mocha.
+ * Checks the report of a test run: every failure counts except those listed in KNOWN-RED.txt. Prints the failed tests
+ * and then the numbers of passed and failed tests.
  */
 import { existsSync, readFileSync } from 'node:fs'
 
-/** The fields that are used of the output of mocha's `json` reporter. */
+/** The part of the output of mocha's `json` reporter that the check reads. */
 export interface TestReport {
   stats: { passes: number, failures: number }
   passes: Array<{ fullTitle: string }>
