--- a/bench/relay/writes.ts
+++ b/bench/relay/writes.ts
@@ -45,7 +45,7 @@
     const store: typeof direct = { ...direct, transact: async (transaction, options) => { await sleep(clock, STORE_DELAY_MS); return await direct.transact(transaction, options) } }
     const lease = createRetentionLease({ store, clock, retentionSeconds: 86_400 })
     const writer = createForwardingWriter({ peers, localWriter: createBatchWriter({ store, lease, clock }) })
-    return createIdempotencyClaims({ store, writer, holder: id, clock, logger: createSilentLogger(), inProgressTimeoutMs: 60_000 })
+    return createIdempotencyClaims({ store, writer, owner: id, clock, logger: createSilentLogger(), inProgressTimeoutMs: 60_000 })
   })
   const total = requestsPerSecond * SECONDS
   const waits: number[] = []
--- a/packages/magnoliabay/src/node/backend/serviceCall.ts
+++ b/packages/magnoliabay/src/node/backend/serviceCall.ts
@@ -31,7 +31,7 @@
  * `lost`: it may have run. `stopped`: aborted on the caller's side; `isSent` says whether it may have run.
  */
 export type ServiceCallResult =
-  | { kind: 'answered', answer: ServiceResponse }
+  | { kind: 'answered', response: ServiceResponse }
   | { kind: 'not-run', message: string, isLeaving: boolean }
   | { kind: 'lost', message: string }
   | { kind: 'stopped', isSent: boolean }
@@ -84,7 +84,7 @@
     const isNotRun = headers[NOT_RUN_HEADER] === 'true' && headers[REQUEST_ID_HEADER] === req.requestId
     if (isNotRun) return { kind: 'not-run', message: `The service refused with status ${status}.`, isLeaving: status === HTTP_UNAVAILABLE }
     const contentType = String(headers['content-type'] ?? DEFAULT_CONTENT_TYPE)
-    return { kind: 'answered', answer: { status, contentType, body: Buffer.concat(chunks) } }
+    return { kind: 'answered', response: { status, contentType, body: Buffer.concat(chunks) } }
   }
   if (req.signal.aborted) return { kind: 'stopped', isSent: end.isSent }
   if (!end.isSent) return { kind: 'not-run', message: end.message, isLeaving: false }
--- a/packages/magnoliabay/src/node/entry/__tests__/harness.ts
+++ b/packages/magnoliabay/src/node/entry/__tests__/harness.ts
@@ -165,7 +165,7 @@
     allowance: createFakeAllowance(network, peers),
     routing: createFakeRouting(options.engineAddresses ?? fleet.engines.map(engine => engine.address)),
     directory: createFakeDirectory(fleet),
-    idempotencyClaims: createIdempotencyClaims({ store, writer, holder: id, clock, logger, inProgressTimeoutMs: 90_000 }),
+    idempotencyClaims: createIdempotencyClaims({ store, writer, owner: id, clock, logger, inProgressTimeoutMs: 90_000 }),
     connectionPools: pools,
     engineClient: engines,
     peers,
--- a/packages/magnoliabay/src/node/entry/serviceAttempts.ts
+++ b/packages/magnoliabay/src/node/entry/serviceAttempts.ts
@@ -89,7 +89,7 @@
         }
         tried.push(server)
         const result = await callAt(server, req, target, signal)
-        if (result.kind === 'answered') return Ok(result.answer)
+        if (result.kind === 'answered') return Ok(result.response)
         lastFailure = failureOf(result)
         logger.info('service-call-failed', { request: req.requestId, server: server.id, result: result.kind, reason: lastFailure.message })
         if (!isRetryable(result, target)) break
--- a/packages/magnoliabay/src/node/entry/services.ts
+++ b/packages/magnoliabay/src/node/entry/services.ts
@@ -54,7 +54,7 @@
       body: req.rawBody
     })
     if (claimed.err) return claimed
-    if (claimed.val.kind === 'answered') return Ok(claimed.val.answer)
+    if (claimed.val.kind === 'answered') return Ok(claimed.val.response)
     return await Promise.race([sendClaimed(req, call, claimed.val.claim), waitForAbort(req.deadline.signal)])
   }
   /** Runs to completion even if the caller has disconnected, so that its retry finds the stored response. */
--- a/packages/magnoliabay/src/node/instance.ts
+++ b/packages/magnoliabay/src/node/instance.ts
@@ -98,7 +98,7 @@
   const retentionLease = createRetentionLease({ store, clock, retentionSeconds: settings.once.retentionSeconds })
   const writer = createForwardingWriter({ peers, localWriter: createBatchWriter({ store, lease: retentionLease, clock }) })
   const inProgressTimeoutMs = settings.limits.deadlineMs + settings.limits.serviceAnswerMs
-  const idempotencyClaims = createIdempotencyClaims({ store, writer, holder: self.incarnation, clock, logger, inProgressTimeoutMs })
+  const idempotencyClaims = createIdempotencyClaims({ store, writer, owner: self.incarnation, clock, logger, inProgressTimeoutMs })
   const cells = createCells({ store, peers, membership, proofs, directory, engines, cfg, clock, logger })
   const routing = createReplicaRouter({ cells, cfg, directory, clock })
   const queue = createRequestQueue({
--- a/packages/magnoliabay/src/node/once/batchWriter.ts
+++ b/packages/magnoliabay/src/node/once/batchWriter.ts
@@ -93,7 +93,7 @@
   const commitIndividually = async (batch: readonly QueuedWrite[]): Promise<void> => {
     await Promise.all(batch.map(queued => commitBatch([queued], 0)))
   }
-  /** The store's response was lost, so its values tell which writes of the batch took effect. */
+  /** The store's response was lost, so its values show which writes of the batch took effect. */
   const resolveUnknownOutcome = async (batch: readonly QueuedWrite[]): Promise<void> => await settleByReading(batch, 'unknown')
   const settleByReading = async (batch: readonly QueuedWrite[], fallback: WriteOutcome): Promise<void> => {
     await Promise.all(batch.map(async ({ write, settle }) => {
--- a/packages/magnoliabay/src/node/once/claimRecord.ts
+++ b/packages/magnoliabay/src/node/once/claimRecord.ts
@@ -25,7 +25,7 @@
 export interface ClaimRecord {
   /** Unique for each attempt to claim; shows after a lost response of the store whether this attempt succeeded. */
   claimId: string
-  /** Incarnation of the instance that holds the claim. */
+  /** Incarnation of the instance that owns the claim. */
   holder: string
   /** Digest of method, path and body; the same key with a different digest is a conflict. */
   digest: string
--- a/packages/magnoliabay/src/node/once/index.ts
+++ b/packages/magnoliabay/src/node/once/index.ts
@@ -1,7 +1,7 @@
 /**
- * Claims for non-idempotent requests: the holder of the claim sends the request, and repeats get the stored
- * response. Only the holder ever sends under a claim, and a claim is never taken over: if its holder dies,
- * the request stays *may have run* until the claim's retention expires.
+ * Claims for non-idempotent requests: the instance that owns the claim sends the request, and repeats get the
+ * stored response. Only the owner ever sends under a claim, and a claim never gets another owner: if its owner
+ * terminates, the request stays *may have run* until the claim's retention expires.
  */
 import type { ServiceResponse } from '../backend/serviceCall'
 import type { Clock } from '../clock'
@@ -35,10 +35,10 @@
 const MAX_RELEASE_ATTEMPTS = 60
 const READ_OPTIONS = { priority: 'once' } as const
 
-/** `claimed`: the caller of `claim` must send the request, once. `answered`: it ran before; `answer` is its response. */
+/** `claimed`: the caller of `claim` must send the request, once. `answered`: it ran before, with this response. */
 export type ClaimOutcome =
   | { kind: 'claimed', claim: IdempotencyClaim }
-  | { kind: 'answered', answer: ServiceResponse }
+  | { kind: 'answered', response: ServiceResponse }
 
 export interface IdempotencyClaims {
   claim (req: ClaimRequest): Promise<Result<ClaimOutcome, Failure>>
@@ -53,10 +53,10 @@
 export interface IdempotencyClaimsOptions {
   store: Store
   writer: ClaimWriter
-  holder: string
+  owner: string
   clock: Clock
   logger: Logger
-  /** Age in milliseconds above which the holder of a claim without a response is presumed dead. */
+  /** Age in milliseconds above which the owner of a claim without a response is presumed to have terminated. */
   inProgressTimeoutMs: number
 }
 
@@ -64,7 +64,7 @@
   const { store, writer, clock, logger } = options
   const pendingWrites = new Set<Promise<void>>()
 
-  /** Waits a short time for the response of another holder, which reaches its caller before the store. */
+  /** Waits a short time for a response of the claim's owner, which reaches the owner's caller before the store. */
   const waitForResponse = async (key: string, ownRecord: ClaimRecord): Promise<Result<ClaimOutcome, Failure>> => {
     for (const waitMs of RESPONSE_POLL_DELAYS_MS) {
       const existing = await readExistingClaim(key, ownRecord)
@@ -84,7 +84,7 @@
     if (record.answer === undefined) return Err(createNoResponseFailure(record, clock.now(), options.inProgressTimeoutMs))
     const response = await readResponse(store, record.answer)
     if (response === undefined) return Err(createResponseUnreadableFailure())
-    return Ok({ kind: 'answered', answer: response })
+    return Ok({ kind: 'answered', response })
   }
   const retryStoreResponse = async (claim: IdempotencyClaim, response: ServiceResponse): Promise<void> => {
     for (let attempt = 0; attempt < MAX_STORE_ATTEMPTS; attempt += 1) {
@@ -114,7 +114,7 @@
       const key = claimKeyOf(req)
       const record: ClaimRecord = {
         claimId: createId('claim'),
-        holder: options.holder,
+        holder: options.owner,
         digest: requestDigestOf(req),
         claimedAtMs: clock.now()
       }
--- a/packages/magnoliabay/src/node/once/storedResponses.ts
+++ b/packages/magnoliabay/src/node/once/storedResponses.ts
@@ -12,17 +12,17 @@
 
 /** Leaves space in a value of the store for the record around the body. */
 const MAX_PART_CHARACTERS = Math.floor(MAX_STORE_VALUE_BYTES * 0.9)
-/** Longer responses aren't stored: a repeat is told that the request may have run. */
+/** Longer responses aren't stored: a repeat gets the failure that the request may have run. */
 const MAX_PARTS = 16
 const BASE64 = 'base64'
 
 /** Writes the response; returns false if the write has to be retried. */
 export async function writeResponse (writer: ClaimWriter, claim: StoredClaim, response: ServiceResponse): Promise<boolean> {
   const body = response.body.toString(BASE64)
-  const chunks = body.length <= MAX_PART_CHARACTERS ? [] : splitIntoParts(body)
-  if (chunks.length > MAX_PARTS) return true
-  const partKeys = chunks.map((_chunk, index) => `${claim.key}/${claim.record.claimId}/${index}`)
-  for (const [index, value] of chunks.entries()) {
+  const parts = body.length <= MAX_PART_CHARACTERS ? [] : splitIntoParts(body)
+  if (parts.length > MAX_PARTS) return true
+  const partKeys = parts.map((_part, index) => `${claim.key}/${claim.record.claimId}/${index}`)
+  for (const [index, value] of parts.entries()) {
     const outcome = await writer.write({ kind: 'part', key: partKeys[index]!, value })
     if (outcome !== 'done') return false
   }
@@ -39,9 +39,9 @@
 /** Reads the stored response; returns undefined if a part of it cannot be read at present. */
 export async function readResponse (store: Pick<Store, 'get'>, record: ResponseRecord): Promise<ServiceResponse | undefined> {
   const storedParts = await Promise.all(record.parts.map(async key => await store.get(key, { priority: 'once' })))
-  const chunks = storedParts.map(part => part.ok ? part.val?.value : undefined)
-  if (chunks.includes(undefined)) return undefined
-  const body = Buffer.from([record.body, ...chunks].join(''), BASE64)
+  const values = storedParts.map(part => part.ok ? part.val?.value : undefined)
+  if (values.includes(undefined)) return undefined
+  const body = Buffer.from([record.body, ...values].join(''), BASE64)
   return { status: record.status, contentType: record.contentType, body }
 }
 
