--- a/packages/magnoliabay/src/node/backend/callerStream.ts
+++ b/packages/magnoliabay/src/node/backend/callerStream.ts
@@ -29,8 +29,8 @@
 
   /**
    * Disconnects a caller that doesn't read. One that vanished without closing its connection, or never reads, would
-   * otherwise occupy the engine's slot and its buffers forever. The engine's response is paused meanwhile, so the
-   * buffered data is bounded by the buffers of the two sockets.
+   * otherwise occupy a slot of the engine and buffers of this instance forever. The engine's response is paused
+   * meanwhile, so the buffered data is bounded by the buffers of the two sockets.
    */
   const waitForDrain = (): void => {
     const cancel = clock.schedule(stallTimeoutMs, () => res.destroy())
--- a/packages/magnoliabay/src/node/backend/directory.ts
+++ b/packages/magnoliabay/src/node/backend/directory.ts
@@ -8,7 +8,7 @@
 import { createListeners } from '../members/dispatch'
 import type { Disposer, Peers } from '../members/peers'
 import type { InstanceList, ListedInstance } from '../store'
-import { READ_INTERVAL_MS, diffLists, isEmpty, isTurnToRead, listChangedNotice, applyChange } from './listPolling'
+import { POLL_INTERVAL_MS, diffLists, isEmpty, isTurnToPoll, listChangedNotice, applyChange } from './listPolling'
 import type { ListChange } from './listPolling'
 
 export interface BackendDirectory {
@@ -53,7 +53,7 @@
     index = buildIndex(next)
     changed.emit()
   }
-  const isDue = (): boolean => !hasRead || peers === undefined || isTurnToRead(peers.self.id, peers.members(), clock.now())
+  const isDue = (): boolean => !hasRead || peers === undefined || isTurnToPoll(peers.self.id, peers.members(), clock.now())
   const readList = async (): Promise<void> => {
     if (!isDue()) return
     const readAtMs = clock.now()
@@ -86,7 +86,7 @@
     services: name => index.services.get(name) ?? [],
     all: () => listed,
     onChanged: changed.add,
-    start: signal => { repeat(clock, READ_INTERVAL_MS, signal, readList) }
+    start: signal => { repeat(clock, POLL_INTERVAL_MS, signal, readList) }
   }
 }
 
--- a/packages/magnoliabay/src/node/backend/listPolling.ts
+++ b/packages/magnoliabay/src/node/backend/listPolling.ts
@@ -10,11 +10,11 @@
 
 /** Up to this many members, each polls for itself every second. */
 export const MAX_MEMBERS_WITHOUT_TURNS = 16
-/** Members that poll in the same second: several, so that a terminated one does not leave a second without a reading. */
-const READERS_PER_INTERVAL = 3
+/** Members that poll at the same time: several, so that the list is still read if one of them has terminated. */
+const MEMBERS_PER_POLL = 3
 
 /** How often the list is polled, by all members or by those whose turn it is, milliseconds. */
-export const READ_INTERVAL_MS = 1000
+export const POLL_INTERVAL_MS = 1000
 
 /** The difference between two successive readings of the list. */
 export interface ListChange {
@@ -28,21 +28,21 @@
 export const listChangedNotice = definePeerNotice<ListChange>('backend.list-changed')
 
 /** Returns whether it is the member's turn to poll in the interval that contains `nowMs` (wall clock). */
-export function isTurnToRead (memberId: string, members: readonly MemberRecord[], nowMs: number): boolean {
+export function isTurnToPoll (memberId: string, members: readonly MemberRecord[], nowMs: number): boolean {
   if (members.length <= MAX_MEMBERS_WITHOUT_TURNS) return true
-  const turns = Math.ceil(members.length / READERS_PER_INTERVAL)
+  const turns = Math.ceil(members.length / MEMBERS_PER_POLL)
   const index = members.findIndex(member => member.id === memberId)
-  return Math.floor(nowMs / READ_INTERVAL_MS) % turns === index % turns
+  return Math.floor(nowMs / POLL_INTERVAL_MS) % turns === index % turns
 }
 
 /** Returns the change that turns `before` into `after`. */
 export function diffLists (before: readonly ListedInstance[], after: readonly ListedInstance[], readAtMs: number): ListChange {
   const known = new Map(before.map(instance => [instance.id, JSON.stringify(instance)]))
-  const kept = new Set(after.map(instance => instance.id))
+  const listedIds = new Set(after.map(instance => instance.id))
   return {
     readAtMs,
     changed: after.filter(instance => known.get(instance.id) !== JSON.stringify(instance)),
-    gone: [...known.keys()].filter(id => !kept.has(id))
+    gone: [...known.keys()].filter(id => !listedIds.has(id))
   }
 }
 
--- a/packages/magnoliabay/src/node/backend/protocol.ts
+++ b/packages/magnoliabay/src/node/backend/protocol.ts
@@ -93,7 +93,7 @@
   waiting: number
   /** Tokens generated a second, in the recent past. */
   tokensPerSecond: number
-  /** Share of the KV cache in use, 0 to 1. */
+  /** Fraction of the KV cache in use, 0 to 1. */
   cacheUse: number
   leaving: boolean
 }
