--- a/packages/magnoliabay/src/node/cells/__tests__/support/fastClock.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/fastClock.ts
@@ -20,9 +20,9 @@
 
   const isBefore = (left: Timer, right: Timer): boolean => left.atMs === right.atMs ? left.order < right.order : left.atMs < right.atMs
   const swap = (one: number, other: number): void => {
-    const kept = heap[one]!
+    const timer = heap[one]!
     heap[one] = heap[other]!
-    heap[other] = kept
+    heap[other] = timer
   }
   const push = (timer: Timer): void => {
     heap.push(timer)
@@ -43,12 +43,12 @@
     while (true) {
       const left = 2 * at + 1
       const right = left + 1
-      let least = at
-      if (left < heap.length && isBefore(heap[left]!, heap[least]!)) least = left
-      if (right < heap.length && isBefore(heap[right]!, heap[least]!)) least = right
-      if (least === at) return first
-      swap(at, least)
-      at = least
+      let earliest = at
+      if (left < heap.length && isBefore(heap[left]!, heap[earliest]!)) earliest = left
+      if (right < heap.length && isBefore(heap[right]!, heap[earliest]!)) earliest = right
+      if (earliest === at) return first
+      swap(at, earliest)
+      at = earliest
     }
   }
   const settle = (): Promise<void> => new Promise(resolve => setImmediate(resolve))
--- a/packages/magnoliabay/src/node/cells/__tests__/support/harness.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/harness.ts
@@ -67,7 +67,7 @@
   instances (): readonly HarnessInstance[]
   instance (id: string): HarnessInstance
   add (id: string): HarnessInstance
-  /** The instance that believes to be a leader, with the highest fence. */
+  /** Of the instances that consider themselves leaders, the one with the highest fence. */
   leader (): HarnessInstance | undefined
   /** Reclaims an engine: it crashes, and the list shows it after its lag. */
   reclaim (engine: string): void
--- a/packages/magnoliabay/src/node/cells/adapterLoader.ts
+++ b/packages/magnoliabay/src/node/cells/adapterLoader.ts
@@ -35,7 +35,7 @@
     loadLimiter.release()
     reconcile()
   }
-  const loadOrMakeRoom = (adapter: AdapterConfig): void => {
+  const loadOrEvict = (adapter: AdapterConfig): void => {
     const account = pickEngine(adapter)
     if (account === undefined || isOnAnyEngine(adapter.name) || !loadLimiter.hasCapacity()) return
     if (freeMiB(account) >= adapter.memoryMiB) {
@@ -49,7 +49,7 @@
   const reconcile = (): void => {
     if (ctx.isStopped()) return
     const awaited = pendingDemand.byUrgency(clock.monotonic(), () => 0).flatMap(demand => [...demand.adapters])
-    awaited.map(ctx.cfg.adapter).filter(adapter => adapter !== undefined).forEach(loadOrMakeRoom)
+    awaited.map(ctx.cfg.adapter).filter(adapter => adapter !== undefined).forEach(loadOrEvict)
   }
   return { reconcile }
 }
--- a/packages/magnoliabay/src/node/cells/autoscaler.ts
+++ b/packages/magnoliabay/src/node/cells/autoscaler.ts
@@ -17,13 +17,13 @@
 const LOAD_READ_INTERVAL_MS = 2000
 /** Requests per replica above which a further replica is needed. */
 const SCALE_UP_REQUESTS_PER_REPLICA = 16
-/** Consecutive readings that must exceed the bound: a single one may be a burst that has ended. */
-const SCALE_UP_REPORTS = 2
+/** Consecutive readings that must exceed the bound before a replica is added: a single one may be a burst that has ended. */
+const SCALE_UP_READINGS = 2
 
 export function createAutoscaler (options: AutoscalerOptions): Autoscaler {
   const { ctx } = options
   const { clock, accounts } = ctx
-  const overloaded = new Map<string, number>()
+  const overloadedReadings = new Map<string, number>()
   const targets = new Map<string, number>()
   let nextReadAtMs = 0
   let lastPublished = ''
@@ -45,10 +45,10 @@
     sum + account.load / Math.max(1, loadedReplicas(account).length), 0)
   const updateTarget = (model: string): void => {
     const count = replicasOf(model).length
-    const wanted = Math.ceil(loadOf(model) / SCALE_UP_REQUESTS_PER_REPLICA)
-    const reports = wanted > count ? (overloaded.get(model) ?? 0) + 1 : 0
-    overloaded.set(model, reports)
-    if (reports >= SCALE_UP_REPORTS || wanted < count) targets.set(model, Math.max(1, wanted))
+    const needed = Math.ceil(loadOf(model) / SCALE_UP_REQUESTS_PER_REPLICA)
+    const readings = needed > count ? (overloadedReadings.get(model) ?? 0) + 1 : 0
+    overloadedReadings.set(model, readings)
+    if (readings >= SCALE_UP_READINGS || needed < count) targets.set(model, Math.max(1, needed))
   }
   const readLoads = async (): Promise<void> => {
     const reachable = [...accounts.values()].filter(account => account.isReachable)
--- a/packages/magnoliabay/src/node/cells/cellLeader.ts
+++ b/packages/magnoliabay/src/node/cells/cellLeader.ts
@@ -152,8 +152,8 @@
   })
   const idleEviction = createIdleEviction({ ctx, ops, history, pendingDemand, targetReplicas: autoscaler.targetReplicas })
   const adapterLoader = createAdapterLoader({ ctx, ops, pendingDemand, loadLimiter: adapterLoadLimiter })
-  /** Intents of former leaders. Undefined until all are known; nothing may be decided before. */
   let isReadingIntents = false
+  /** Intents of former leaders. Undefined until all are known; nothing may be decided before. */
   let inheritedIntents: readonly Intent[] | undefined
   const readInheritedIntents = async (): Promise<void> => {
     if (isReadingIntents) return
--- a/packages/magnoliabay/src/node/cells/claim.ts
+++ b/packages/magnoliabay/src/node/cells/claim.ts
@@ -77,13 +77,13 @@
     claim: async (cell, leadership, unproven) => {
       const record: CellLeaderRecord = { holder: { ...self }, claimId: createId('claim'), unproven }
       pendingClaimIds.add(record.claimId)
-      const answer = await store.transact({
+      const written = await store.transact({
         compares: [{ key: cellLeaderKey(cell), target: 'mod', equals: leadership.modRevision }],
         writes: [{ kind: 'put', key: cellLeaderKey(cell), value: JSON.stringify(record) }]
       }, { priority: 'ownership' })
-      if (answer.ok) return answer.val.succeeded ? { record, modRevision: answer.val.revision } : undefined
-      if (answer.val.kind !== 'unknown') return undefined
-      // The answer was lost. The claim id shows whether the present record is from this claim.
+      if (written.ok) return written.val.succeeded ? { record, modRevision: written.val.revision } : undefined
+      if (written.val.kind !== 'unknown') return undefined
+      // The response was lost. The claim id shows whether the current record is from this claim.
       const found = await store.get(cellLeaderKey(cell), { priority: 'ownership' })
       if (found.err || found.val === undefined) return undefined
       const current = JSON.parse(found.val.value) as CellLeaderRecord
--- a/packages/magnoliabay/src/node/cells/engineReconciler.ts
+++ b/packages/magnoliabay/src/node/cells/engineReconciler.ts
@@ -86,21 +86,21 @@
     const restarted = state.incarnation !== account.incarnation
     if (restarted) logger.warn('engine-restarted', { engine: account.engine, incarnation: state.incarnation })
     applyEngineState(account, state)
-    state.models.filter(held => held.state === 'loaded').forEach(held => ctx.orderSender.markDone(held.orderId))
+    state.models.filter(reported => reported.state === 'loaded').forEach(reported => ctx.orderSender.markDone(reported.orderId))
     if (restarted) account.adapters.clear()
     // An answer that arrived during the read is newer than this state.
     if (account.lastAnswerMs >= startedMs && !restarted) return false
     const settled = [...account.replicas.values()].filter(replica => !replica.hasOpenOrder)
     const hasChanged = settled.map(replica => applyReplicaState(account, replica, state)).some(isChanged => isChanged)
-    const foreign = state.models.filter(held => !account.replicas.has(held.model))
-    foreign.forEach(held => adoptModel(account, held, clock.monotonic()))
-    return hasChanged || foreign.length > 0 || restarted
+    const unaccounted = state.models.filter(reported => !account.replicas.has(reported.model))
+    unaccounted.forEach(reported => adoptModel(account, reported, clock.monotonic()))
+    return hasChanged || unaccounted.length > 0 || restarted
   }
   /** Applies the state that an engine reports to a replica without an order in flight. */
   const applyReplicaState = (account: EngineAccount, replica: Replica, state: EngineState): boolean => {
-    const held = state.models.find(model => model.model === replica.model)
-    if (held?.state === 'loaded') return replica.lifecycle.send('confirm')
-    if (held !== undefined || !replica.lifecycle.send('lose')) return false
+    const reported = state.models.find(model => model.model === replica.model)
+    if (reported?.state === 'loaded') return replica.lifecycle.send('confirm')
+    if (reported !== undefined || !replica.lifecycle.send('lose')) return false
     logger.warn('replica-lost', { model: replica.model, engine: account.engine })
     dropIfGone(account, replica)
     return true
--- a/packages/magnoliabay/src/node/cells/engineTakeover.ts
+++ b/packages/magnoliabay/src/node/cells/engineTakeover.ts
@@ -62,12 +62,12 @@
 function accountFromState (state: EngineState, nowMs: number): EngineAccount {
   const account = createEngineAccount(state.engine, state.memoryMiB)
   applyEngineState(account, state)
-  state.models.forEach(held => adoptModel(account, held, nowMs))
-  state.adapters.forEach(held => account.adapters.set(held.adapter, {
-    adapter: held.adapter,
-    model: held.model,
-    memoryMiB: held.memoryMiB,
-    isLoaded: held.state === 'loaded',
+  state.models.forEach(reported => adoptModel(account, reported, nowMs))
+  state.adapters.forEach(reported => account.adapters.set(reported.adapter, {
+    adapter: reported.adapter,
+    model: reported.model,
+    memoryMiB: reported.memoryMiB,
+    isLoaded: reported.state === 'loaded',
     lastUsedMs: nowMs
   }))
   return account
@@ -84,14 +84,14 @@
 }
 
 /** Charges a model that the engine reports. Its state is `unknown` while it is loading or unloading. */
-export function adoptModel (account: EngineAccount, held: LoadedModel, nowMs: number): void {
+export function adoptModel (account: EngineAccount, reported: LoadedModel, nowMs: number): void {
   addReplica(account, {
     engine: account.engine,
-    model: held.model,
-    version: held.version,
-    memoryMiB: held.memoryMiB,
-    orderId: held.orderId,
+    model: reported.model,
+    version: reported.version,
+    memoryMiB: reported.memoryMiB,
+    orderId: reported.orderId,
     nowMs,
-    initialState: held.state === 'loaded' ? 'loaded' : 'unknown'
+    initialState: reported.state === 'loaded' ? 'loaded' : 'unknown'
   })
 }
--- a/packages/magnoliabay/src/node/cells/idleEviction.ts
+++ b/packages/magnoliabay/src/node/cells/idleEviction.ts
@@ -81,8 +81,8 @@
     const prediction = predictionOf(model.name)
     if (prediction === undefined || !isUseImminent(prediction.atMs, prediction.spreadMs, model.memoryMiB)) return
     const isOnAnyEngine = [...accounts.values()].some(account => account.replicas.has(model.name))
-    const hasRoom = [...accounts.values()].some(account => freeMiB(account) >= model.memoryMiB)
-    if (!isOnAnyEngine && hasRoom) pendingDemand.add({ model: model.name, adapters: [], waiting: 0, patienceMs: PRELOAD_PATIENCE_MS, weight: 1, isPredicted: true }, clock.monotonic())
+    const hasFreeMemory = [...accounts.values()].some(account => freeMiB(account) >= model.memoryMiB)
+    if (!isOnAnyEngine && hasFreeMemory) pendingDemand.add({ model: model.name, adapters: [], waiting: 0, patienceMs: PRELOAD_PATIENCE_MS, weight: 1, isPredicted: true }, clock.monotonic())
   }
 
   return {
--- a/packages/magnoliabay/src/node/cells/inheritedReplicas.ts
+++ b/packages/magnoliabay/src/node/cells/inheritedReplicas.ts
@@ -20,7 +20,7 @@
   model: string
 }
 
-/** Same as the time for which the account of an engine missing from the list is kept. */
+/** As long as `MISSING_TIMEOUT_MS` in `engineReconciler.ts`, after which the account of a missing engine is dropped. */
 const UNLISTED_RETENTION_MS = 30_000
 
 export function createInheritedReplicas (previousTable: ReplicaTable | undefined, clock: Clock): InheritedReplicas {
--- a/packages/magnoliabay/src/node/cells/intents.ts
+++ b/packages/magnoliabay/src/node/cells/intents.ts
@@ -45,13 +45,13 @@
   const pendingDeletes = new Set<string>()
 
   const recordInStore = async (intent: Intent): Promise<RecordOutcome> => {
-    const answer = await store.transact({
+    const written = await store.transact({
       compares: [{ key: cellLeaderKey(cell), target: 'mod', equals: fence }],
       writes: [{ kind: 'put', key: intentKey(cell, intent.orderId), value: JSON.stringify(intent) }]
     }, { priority: 'ownership' })
-    if (answer.ok) return answer.val.succeeded ? 'stored' : 'superseded'
-    if (answer.val.kind !== 'unknown') return 'nowhere'
-    // The answer was lost. A read is conclusive, since only this leader writes the key.
+    if (written.ok) return written.val.succeeded ? 'stored' : 'superseded'
+    if (written.val.kind !== 'unknown') return 'nowhere'
+    // The response was lost. A read is conclusive, since only this leader writes the key.
     const found = await store.get(intentKey(cell, intent.orderId), { priority: 'ownership' })
     return found.ok && found.val !== undefined ? 'stored' : 'nowhere'
   }
@@ -88,11 +88,11 @@
     flushDeletes: async () => {
       const orderIds = [...pendingDeletes].slice(0, MAX_DELETES_PER_BATCH)
       if (orderIds.length === 0) return
-      const answer = await store.transact({
+      const deleted = await store.transact({
         compares: [],
         writes: orderIds.map(orderId => ({ kind: 'delete', key: intentKey(cell, orderId) }))
       })
-      if (answer.err) return
+      if (deleted.err) return
       peers.notifyAll(dropIntentsNotice, orderIds)
       orderIds.forEach(orderId => pendingDeletes.delete(orderId))
     },
@@ -118,7 +118,7 @@
   return domains
 }
 
-/** Bound on the intents held for other leaders. Far above the open intents of two thousand engines. */
+/** Maximum number of intents held for other leaders. Far above the open intents of two thousand engines. */
 const MAX_HELD_INTENTS = 10_000
 
 export interface HeldIntents {
--- a/packages/magnoliabay/src/node/cells/keepAlivePolicy.ts
+++ b/packages/magnoliabay/src/node/cells/keepAlivePolicy.ts
@@ -22,7 +22,7 @@
 const DEFAULT_MAX_MS = 1_800_000
 /** A gap like a recorded one may be a little longer. */
 const GAP_MARGIN_RATIO = 1.1
-/** Uses no further apart than this count as one burst, not as a gap. */
+/** Uses separated by at most this time belong to one burst; the time between them is not recorded as a gap. */
 const MAX_BURST_GAP_MS = 2000
 
 export function decideKeepAliveMs (gaps: readonly number[], options: KeepAliveOptions): number {
--- a/packages/magnoliabay/src/node/cells/loadTimes.ts
+++ b/packages/magnoliabay/src/node/cells/loadTimes.ts
@@ -9,6 +9,7 @@
 const MIB_PER_GIB = 1024
 /** Estimates before any load has completed. */
 const INITIAL_MS_PER_GIB: Readonly<Record<CheckpointTier, number>> = { memory: 20, disk: 80, remote: 250 }
+/** Weight of the newest load in the moving average. */
 const LEARNING_RATE = 0.2
 
 export function createLoadTimes (): LoadTimes {
--- a/packages/magnoliabay/src/node/cells/orderSender.ts
+++ b/packages/magnoliabay/src/node/cells/orderSender.ts
@@ -85,8 +85,8 @@
  * proves nothing: the order may still arrive.
  */
 const DONE_CHECKS: Partial<Record<Order['action'], DoneCheck>> = {
-  load: (state, order) => state.models.some(held => held.orderId === order.orderId && held.state === 'loaded'),
-  'load-adapter': (state, order) => state.adapters.some(held => held.orderId === order.orderId && held.state === 'loaded'),
+  load: (state, order) => state.models.some(reported => reported.orderId === order.orderId && reported.state === 'loaded'),
+  'load-adapter': (state, order) => state.adapters.some(reported => reported.orderId === order.orderId && reported.state === 'loaded'),
   'set-role': (state, order) => state.role === order.role,
   'raise-fence': (state, order) => state.checksFence && state.fence === order.fence
 }
--- a/packages/magnoliabay/src/node/cells/records.ts
+++ b/packages/magnoliabay/src/node/cells/records.ts
@@ -30,7 +30,7 @@
 export interface CellLeaderRecord {
   /** The process that leads the cell. Absent when the cell was released. */
   holder?: MemberRecord
-  /** Unique for each claim: identifies a claim whose answer was lost. */
+  /** Unique for each claim: identifies a claim when the response to its write was lost. */
   claimId: string
   /**
    * Former leaders that neither have provably terminated nor have released the cell. Engines that ignore fencing tokens
