--- a/packages/magnoliabay/src/node/allowance/__tests__/testFleet.ts
+++ b/packages/magnoliabay/src/node/allowance/__tests__/testFleet.ts
@@ -50,19 +50,19 @@
 
 /** Creates a clock whose callbacks wait while its process is paused; its time continues. */
 function createPausableClock (clock: Clock) {
-  const held: Array<() => void> = []
+  const deferred: Array<() => void> = []
   let isPaused = false
   return {
     now: clock.now,
     monotonic: clock.monotonic,
     schedule: (delayMs: number, callback: () => void) => clock.schedule(delayMs, () => {
-      if (isPaused) held.push(callback)
+      if (isPaused) deferred.push(callback)
       else callback()
     }),
     pause: () => { isPaused = true },
     resume: () => {
       isPaused = false
-      held.splice(0).forEach(callback => callback())
+      deferred.splice(0).forEach(callback => callback())
     }
   }
 }
@@ -172,11 +172,11 @@
   const inOrder = [...spendings].sort((left, right) => left.atMs - right.atMs)
   let level = burst
   let atMs = 0
-  let most = 0
+  let maxExcess = 0
   inOrder.forEach(spending => {
     level = Math.min(burst, level + rate * (spending.atMs - atMs) / 1000) - spending.tokens
     atMs = spending.atMs
-    most = Math.max(most, -level)
+    maxExcess = Math.max(maxExcess, -level)
   })
-  return most
+  return maxExcess
 }
--- a/packages/magnoliabay/src/node/allowance/constants.ts
+++ b/packages/magnoliabay/src/node/allowance/constants.ts
@@ -20,7 +20,7 @@
 export const SHARE_IDLE_TIMEOUT_MS = 2000
 /** How long requests are refused by the total found in the last collection, without asking other members again, in milliseconds. */
 export const KNOWN_TOTAL_TTL_MS = 100
-/** Most members asked at once when tokens are collected. */
+/** Maximum number of members asked at once when tokens are collected. */
 export const MAX_COLLECTION_PEERS = 16
 export const ASK_TIMEOUT_MS = 500
 /**
--- a/packages/magnoliabay/src/node/allowance/demand.ts
+++ b/packages/magnoliabay/src/node/allowance/demand.ts
@@ -1,11 +1,11 @@
-/** Measures how many tokens a second a team requests at this instance, averaged over the last seconds. */
+/** Measures how many tokens per second a team requests at this instance, averaged over the last seconds. */
 import { createDecayingRate } from '../decayingRate'
 
 const AVERAGING_TIME_MS = 5000
 
 export interface Demand {
   record (tokens: number, nowMs: number): void
-  /** Tokens a second. */
+  /** Tokens per second. */
   rate (nowMs: number): number
   /** Monotonic time of the last request. */
   lastRequestMs (): number
--- a/packages/magnoliabay/src/node/allowance/messages.ts
+++ b/packages/magnoliabay/src/node/allowance/messages.ts
@@ -18,7 +18,7 @@
   team: string
   mode: AskMode
   tokens: number
-  /** Tokens a second requested at the taker. */
+  /** Tokens per second requested at the taker. */
   demand: number
   /** Units that the taker holds. */
   units: number
--- a/packages/magnoliabay/src/node/allowance/processRegistry.ts
+++ b/packages/magnoliabay/src/node/allowance/processRegistry.ts
@@ -39,7 +39,7 @@
   applyGrants (team: string, ledger: Ledger): void
 }
 
-/** Most ledgers created in one transaction; the store accepts 128 operations, and each ledger takes two. */
+/** Maximum number of ledgers created in one transaction; the store accepts 128 operations, and each ledger takes two. */
 const MAX_LEDGERS_PER_TRANSACTION = 60
 
 export function processKey (process: string): string {
--- a/packages/magnoliabay/src/node/allowance/reclaim.ts
+++ b/packages/magnoliabay/src/node/allowance/reclaim.ts
@@ -85,11 +85,11 @@
     if (marked.err || !marked.val.succeeded) return undefined
     return terminated.map(process => ({ ...process, modRevision: marked.val.revision }))
   }
-  const reportOf = async (live: RegisteredProcess, dead: readonly string[]): Promise<readonly LiveProcessReport[] | undefined> => {
+  const reportOf = async (live: RegisteredProcess, terminated: readonly string[]): Promise<readonly LiveProcessReport[] | undefined> => {
     const { member, incarnation } = live.id
     const withProcess = (reports: ReturnType<TransferCounters['close']>): LiveProcessReport[] => reports.map(report => ({ ...report, process: incarnation }))
-    if (incarnation === self.incarnation) return withProcess(counters.close(dead))
-    const reply = await peers.call(member, closeCall, { dead }, { timeoutMs: ASK_TIMEOUT_MS })
+    if (incarnation === self.incarnation) return withProcess(counters.close(terminated))
+    const reply = await peers.call(member, closeCall, { dead: terminated }, { timeoutMs: ASK_TIMEOUT_MS })
     if (reply.err || reply.val.process !== incarnation) {
       logger.info('reclaim-waits', { for: member, incarnation, reason: reply.err ? reply.val.message : 'another process responds at that member' })
       return undefined
--- a/packages/magnoliabay/src/node/allowance/share.ts
+++ b/packages/magnoliabay/src/node/allowance/share.ts
@@ -12,7 +12,7 @@
 import { MS_PER_SECOND, TOTAL_UNITS } from './constants'
 
 export interface AllowanceSize {
-  /** Tokens a second, over the fleet. */
+  /** Tokens per second, over the fleet. */
   rate: number
   /** Largest number of tokens at once, over the fleet. */
   burst: number
