--- a/packages/magnoliabay/src/node/store/etcdWatch.ts
+++ b/packages/magnoliabay/src/node/store/etcdWatch.ts
@@ -92,7 +92,7 @@
 
 /**
  * Calls a handler; logs and skips a record for which it throws. Otherwise such a record would end the watch,
- * be in the next snapshot as well, and keep every later change of the prefix from this instance.
+ * be in the next snapshot as well, and so prevent this instance from receiving any later change of the prefix.
  */
 function callHandler (run: WatchRun, key: string, handler: () => void): void {
   try {
--- a/packages/magnoliabay/src/node/store/instanceList.ts
+++ b/packages/magnoliabay/src/node/store/instanceList.ts
@@ -14,7 +14,7 @@
   status: InstanceStatus
   /** Role `service` only: name of the plain service that the instance serves. */
   service?: string
-  /** Engines only: whether the engine refuses orders with an old fencing number. */
+  /** Engines only: whether the engine refuses orders with an old fencing token. */
   checksFence?: boolean
   /** Engines only: memory for models and adapters, in MiB. */
   memoryMiB?: number
--- a/packages/magnoliabay/src/node/store/store.ts
+++ b/packages/magnoliabay/src/node/store/store.ts
@@ -7,7 +7,7 @@
 export interface KeyValue {
   key: string
   value: string
-  /** Revision at which the key was created. Revisions increase over the whole store, so this serves as a fencing number. */
+  /** Revision at which the key was created. Revisions increase over the whole store, so this serves as a fencing token. */
   createRevision: number
   /** Revision of the last change of the key. */
   modRevision: number
