--- a/packages/magnoliabay/src/node/members/dialer.ts
+++ b/packages/magnoliabay/src/node/members/dialer.ts
@@ -51,8 +51,8 @@
 
   return {
     setTargets: members => {
-      const wanted = new Set(members.map(keyOf))
-      const stale = [...targets.keys()].filter(key => !wanted.has(key))
+      const targetKeys = new Set(members.map(keyOf))
+      const stale = [...targets.keys()].filter(key => !targetKeys.has(key))
       stale.forEach(key => {
         targets.get(key)?.abort()
         targets.delete(key)
--- a/packages/magnoliabay/src/node/members/link.ts
+++ b/packages/magnoliabay/src/node/members/link.ts
@@ -163,7 +163,7 @@
   }
   const handlers: { [Type in Frame['type']]: (frame: Extract<Frame, { type: Type }>, from: MemberRecord) => void } = {
     hello: () => {},
-    // A side that monitors the link relies on what it receives; on a permanent link both sides send heartbeats.
+    // A side that monitors the link sends heartbeats of its own. Only a side that does not has to answer those of the peer.
     beat: () => { if (!isMonitored()) send({ type: 'beat' }) },
     call: (frame, from) => { answerCall(frame, from) },
     reply: frame => pending.get(frame.id)?.settle(frame.ok ? Ok(frame.body) : Err(frame.body as PeerError)),
--- a/packages/magnoliabay/src/node/members/membership.ts
+++ b/packages/magnoliabay/src/node/members/membership.ts
@@ -16,11 +16,12 @@
 const RENEW_INTERVAL_MS = 3000
 
 /**
- * How long a member counts as running whose record has lapsed and to which no link is maintained that would show it.
+ * How long a member whose record has expired counts as running, if no link is maintained to it. A maintained link shows
+ * whether it runs.
  */
-const LAPSED_RECORD_RETENTION_MS = 15_000
+const EXPIRED_RECORD_RETENTION_MS = 15_000
 
-interface LapsedRecord {
+interface ExpiredRecord {
   record: MemberRecord
   /** Monotonic milliseconds. */
   sinceMs: number
@@ -70,7 +71,7 @@
   const self = network.self
   const records = new Map<string, MemberRecord>()
   /** Records that are missing from the store, of members that may still be running. */
-  const lapsed = new Map<string, LapsedRecord>()
+  const expiredRecords = new Map<string, ExpiredRecord>()
   const changed = createListeners<[]>()
   const changedIds = new Set<string>()
   let digest: string | undefined
@@ -98,17 +99,17 @@
     await register()
   }
   /**
-   * After a long outage of the store all leases have lapsed, and all records disappear until each member has registered
+   * After a long outage of the store all leases have expired, and all records disappear until each member has registered
    * again. Members with a link stay members, so that no instance closes the links that all peer traffic uses.
    */
-  const isPresumedRunning = ({ record, sinceMs }: LapsedRecord): boolean => {
+  const isPresumedRunning = ({ record, sinceMs }: ExpiredRecord): boolean => {
     const linkState = network.linkStateOf(record.id)
     if (linkState !== 'none') return linkState === 'linked'
-    return clock.monotonic() - sinceMs < LAPSED_RECORD_RETENTION_MS
+    return clock.monotonic() - sinceMs < EXPIRED_RECORD_RETENTION_MS
   }
   const updateMembers = (): void => {
-    lapsed.forEach((held, id) => { if (records.has(id) || !isPresumedRunning(held)) lapsed.delete(id) })
-    network.setMembers([...records.values(), ...[...lapsed.values()].map(held => held.record)])
+    expiredRecords.forEach((expired, id) => { if (records.has(id) || !isPresumedRunning(expired)) expiredRecords.delete(id) })
+    network.setMembers([...records.values(), ...[...expiredRecords.values()].map(expired => expired.record)])
     changed.emit()
   }
   const markChanged = (id: string): void => {
@@ -120,10 +121,10 @@
     if (record === undefined) return
     records.delete(id)
     markChanged(id)
-    if (!record.leaving) lapsed.set(id, { record, sinceMs: clock.monotonic() })
+    if (!record.leaving) expiredRecords.set(id, { record, sinceMs: clock.monotonic() })
   }
   const applyEntry = (entry: Pick<KeyValue, 'key' | 'value'>): void => {
-    // A damaged record must not keep the rest of a snapshot from being applied.
+    // A damaged record must not prevent the rest of a snapshot from being applied.
     const record = parseJson(entry.value) as MemberRecord | undefined
     if (record?.id === undefined) return logger.warn('member-record-refused', { key: entry.key })
     updateRecord(record)
@@ -179,7 +180,7 @@
         }
       }, signal)
       repeat(clock, RENEW_INTERVAL_MS, signal, renewOrRegister)
-      repeat(clock, RENEW_INTERVAL_MS, signal, () => { if (lapsed.size > 0) updateMembers() })
+      repeat(clock, RENEW_INTERVAL_MS, signal, () => { if (expiredRecords.size > 0) updateMembers() })
     },
     announceLeaving: async () => {
       self.leaving = true
--- a/packages/magnoliabay/src/node/members/neighbours.ts
+++ b/packages/magnoliabay/src/node/members/neighbours.ts
@@ -11,7 +11,7 @@
 export const MAX_FULL_MESH_MEMBERS = 16
 /** Adjacent members on the ring, on each side. */
 const RING_NEIGHBOURS_PER_SIDE = 2
-/** Distant partners of a member, on average between this and twice as many. */
+/** Minimum of the mean number of distant partners per member; the maximum is twice as many. */
 const MIN_MEAN_PARTNERS = 2
 /** {@link mix} is uniformly distributed below this. */
 const MIX_RANGE = 2 ** 32
--- a/packages/magnoliabay/src/node/members/reachabilityProbe.ts
+++ b/packages/magnoliabay/src/node/members/reachabilityProbe.ts
@@ -1,7 +1,7 @@
 /**
  * Checks whether any member can still reach another. That none can does not prove that its process has ended: it may be
  * paused, or cut off. It is a reason to act early only where acting early is safe, as on engines that refuse orders
- * with an older fencing number.
+ * with an older fencing token.
  */
 import { definePeerCall } from './peers'
 import type { Peers } from './peers'
--- a/packages/magnoliabay/src/node/members/terminationDetector.ts
+++ b/packages/magnoliabay/src/node/members/terminationDetector.ts
@@ -1,6 +1,6 @@
 /**
- * Collects proofs that processes have ended. Silence, a lapsed lease and a refused connection are no proof: a paused
- * process resumes and goes on with what it assumes it holds.
+ * Collects proofs that processes have ended. Silence, an expired lease and a refused connection are no proof: a paused
+ * process resumes and continues to use the leases and shares that it held before.
  */
 import type { Clock } from '../clock'
 import type { Logger } from '../logger'
@@ -30,7 +30,7 @@
 }
 
 export interface TerminationDetector extends TerminationProofs {
-  /** Registers a process known from its record or its link. It stays registered when its lease lapses. */
+  /** Registers a process known from its record or its link. It stays registered when its lease expires. */
   observeProcess (record: MemberRecord): void
   recordGoodbye (record: MemberRecord): void
   /** Takes the platform's list as just read. */
