--- a/packages/magnoliabay/src/node/cells/__tests__/support/pausable.ts
+++ b/packages/magnoliabay/src/node/cells/__tests__/support/pausable.ts
@@ -9,7 +9,7 @@
   engines (engines: EngineClient): EngineClient
   pause (): void
   resume (): void
-  /** Ends the process for good: drops its timers and answers. */
+  /** Ends the process permanently: drops its timers and answers. */
   stop (): void
 }
 
--- a/packages/magnoliabay/src/node/cells/cells.ts
+++ b/packages/magnoliabay/src/node/cells/cells.ts
@@ -74,8 +74,8 @@
   /** Former leaderships whose process has confirmed that it sends no more orders. */
   const releasedLeaderships = new Set<string>()
   /**
-   * Highest fencing token under which this process has released each cell. A claim of its own that it learns of only
-   * after the release is ignored.
+   * Highest fencing token under which this process has released each cell. A claim of its own that the watch
+   * delivers only after the release is ignored.
    */
   const releasedFences = new Map<string, number>()
   const loads = new Map<string, Readonly<Record<string, number>>>()
--- a/packages/magnoliabay/src/node/cells/idleEviction.ts
+++ b/packages/magnoliabay/src/node/cells/idleEviction.ts
@@ -38,15 +38,15 @@
   }
   const isUseExpected = (replica: Replica): boolean => {
     const nextUse = predictionOf(replica.model)
-    return nextUse !== undefined && isUseImminent(nextUse.atMs, nextUse.spreadMs, replica.memoryMiB)
+    return nextUse !== undefined && isUseImminent(nextUse.atMs, nextUse.marginMs, replica.memoryMiB)
   }
   const predictionOf = (model: string): ReturnType<typeof predictNextUse> => {
     const lastUseMs = history.lastUseMs(model)
     return lastUseMs === undefined ? undefined : predictNextUse(lastUseMs, history.gaps(model))
   }
-  const isUseImminent = (atMs: number, spreadMs: number, memoryMiB: number): boolean => {
-    const leadMs = ctx.loadTimes.expectedMs('remote', memoryMiB) + spreadMs + PRELOAD_MARGIN_MS
-    return clock.monotonic() >= atMs - leadMs && clock.monotonic() <= atMs + spreadMs + PRELOAD_MARGIN_MS
+  const isUseImminent = (atMs: number, marginMs: number, memoryMiB: number): boolean => {
+    const leadMs = ctx.loadTimes.expectedMs('remote', memoryMiB) + marginMs + PRELOAD_MARGIN_MS
+    return clock.monotonic() >= atMs - leadMs && clock.monotonic() <= atMs + marginMs + PRELOAD_MARGIN_MS
   }
   const isIdle = (replica: Replica): boolean => {
     const idleMs = clock.monotonic() - replica.lastUsedMs
@@ -79,7 +79,7 @@
   /** Adds demand for a model that is expected to be used soon, if it fits into free memory: evicts nothing for a prediction. */
   const preload = (model: ModelConfig): void => {
     const prediction = predictionOf(model.name)
-    if (prediction === undefined || !isUseImminent(prediction.atMs, prediction.spreadMs, model.memoryMiB)) return
+    if (prediction === undefined || !isUseImminent(prediction.atMs, prediction.marginMs, model.memoryMiB)) return
     const isOnAnyEngine = [...accounts.values()].some(account => account.replicas.has(model.name))
     const hasFreeMemory = [...accounts.values()].some(account => freeMiB(account) >= model.memoryMiB)
     if (!isOnAnyEngine && hasFreeMemory) pendingDemand.add({ model: model.name, adapters: [], waiting: 0, patienceMs: PRELOAD_PATIENCE_MS, weight: 1, isPredicted: true }, clock.monotonic())
--- a/packages/magnoliabay/src/node/cells/keepAlivePolicy.ts
+++ b/packages/magnoliabay/src/node/cells/keepAlivePolicy.ts
@@ -38,8 +38,8 @@
 export interface Prediction {
   /** Monotonic milliseconds. */
   atMs: number
-  /** Expected deviation from `atMs`, milliseconds. */
-  spreadMs: number
+  /** The use is expected within this time before and after `atMs`, milliseconds. */
+  marginMs: number
 }
 
 const MIN_PREDICTION_GAPS = 5
@@ -52,7 +52,7 @@
   const mean = recent.reduce((sum, gap) => sum + gap, 0) / recent.length
   const variance = recent.reduce((sum, gap) => sum + (gap - mean) ** 2, 0) / recent.length
   const deviation = Math.sqrt(variance)
-  return deviation <= mean * MAX_VARIATION_RATIO ? { atMs: lastUseMs + mean, spreadMs: 2 * deviation } : undefined
+  return deviation <= mean * MAX_VARIATION_RATIO ? { atMs: lastUseMs + mean, marginMs: 2 * deviation } : undefined
 }
 
 /** History of a model as kept in the store for the next leader. Wall-clock milliseconds. */
