--- a/packages/magnoliabay/src/node/allowance/messages.ts
+++ b/packages/magnoliabay/src/node/allowance/messages.ts
@@ -6,7 +6,7 @@
  * What the taker asks the giver for.
  * `collect`: as many of the tokens as are available.
  * `rebalance`: as `collect`, and units in proportion to demand; between homes.
- * `even`: the units that the taker lacks to the target of each home, if the giver has tokens to spare; between homes.
+ * `even`: the units that the taker needs to reach the target of each home, if the giver has tokens to spare; between homes.
  * `return`: the whole share, if it is idle.
  * `heal`: nothing new; only the units of an earlier transfer that was lost.
  */
--- a/packages/magnoliabay/src/node/allowance/shareExchange.ts
+++ b/packages/magnoliabay/src/node/allowance/shareExchange.ts
@@ -65,7 +65,7 @@
   /** Number of the last request of each process. */
   const lastAskNumbers = new Map<string, number>()
   let nextNumber = 0
-  /** Homes are asked in rotation, since the one that holds the most changes with the members. */
+  /** Homes are asked in rotation, since any of them may be the one that holds the most units. */
   let nextHomeIndex = 0
   const lostTransfers = new Map<string, { team: string, memberId: string }>()
 
--- a/packages/magnoliabay/src/node/config/dropOldVersions.ts
+++ b/packages/magnoliabay/src/node/config/dropOldVersions.ts
@@ -6,7 +6,7 @@
 
 /** Number of versions kept per document. */
 export const MAX_KEPT_VERSIONS = 20
-/** Old versions are deleted after every so many new ones, since each deletion reads all histories. */
+/** Number of new versions after which old ones are deleted; not after each one, since a deletion reads all histories. */
 const VERSIONS_PER_DROP = 10
 /** Operations that the platform's service accepts in one transaction; the rest is deleted next time. */
 const MAX_TRANSACTION_OPERATIONS = 120
