--- a/packages/magnoliabay/src/node/members/link.ts
+++ b/packages/magnoliabay/src/node/members/link.ts
@@ -17,9 +17,9 @@
 /** Interval of heartbeats on a monitored link. */
 export const HEARTBEAT_INTERVAL_MS = 1000
 /**
- * A link on which nothing arrives for this long is closed and dialled again. A connection that a device between the two
- * ends has lost track of stays open and silent for good: calls on it would time out one after another, while a new connection
- * works. Three missed heartbeats distinguish it from a short pause.
+ * A link on which nothing arrives for this long is closed and dialled again. When a network device between the two ends
+ * drops a connection's state, the connection stays open and silent: calls on it would time out one after another, while a
+ * new connection works. Three missed heartbeats distinguish it from a short pause.
  */
 export const SILENCE_TIMEOUT_MS = 3500
 /**
--- a/packages/magnoliabay/src/node/members/neighbours.ts
+++ b/packages/magnoliabay/src/node/members/neighbours.ts
@@ -1,9 +1,9 @@
 /**
  * Determines which members hold links to one another. Up to {@link MAX_FULL_MESH_MEMBERS} all do. In a larger fleet
- * each holds a bounded number, which every member derives alike from the list of members: a ring in hash order, which
- * connects the fleet, and distant partners on it, which keep every member within a few hops. Neighbourhood is mutual.
- * Each member computes only its own neighbours: otherwise each would go through all pairs at every change of the
- * members.
+ * each holds a bounded number, computed by every member from the same list: links to adjacent members on a ring in hash
+ * order, which connect the fleet, and to distant partners on it, which keep every member within a few hops.
+ * Neighbourhood is mutual. Each member computes only its own neighbours: otherwise each would go through all pairs at
+ * every change of the members.
  */
 import { stableHash } from '../utils'
 
