--- a/packages/magnoliabay/src/node/members/neighbours.ts
+++ b/packages/magnoliabay/src/node/members/neighbours.ts
@@ -1,6 +1,6 @@
 /**
  * Determines which members hold links to one another. Up to {@link MAX_FULL_MESH_MEMBERS} all do. In a larger fleet
- * each holds a bounded number, computed by every member from the same list: links to adjacent members on a ring in hash
+ * each holds a bounded number, determined by the list of members alone: links to adjacent members on a ring in hash
  * order, which connect the fleet, and to distant partners on it, which keep every member within a few hops.
  * Neighbourhood is mutual. Each member computes only its own neighbours: otherwise each would go through all pairs at
  * every change of the members.
