--- a/packages/magnoliabay/src/node/cells/keepAlivePolicy.ts
+++ b/packages/magnoliabay/src/node/cells/keepAlivePolicy.ts
@@ -22,7 +22,7 @@
 const DEFAULT_MAX_MS = 1_800_000
 /** A gap like a recorded one may be a little longer. */
 const GAP_MARGIN_RATIO = 1.1
-/** Uses no further apart than this count as one burst, not as a gap. */
+/** Uses separated by at most this time belong to one burst; the time between them is not recorded as a gap. */
 const MAX_BURST_GAP_MS = 2000
 
 export function decideKeepAliveMs (gaps: readonly number[], options: KeepAliveOptions): number {
@@ -38,8 +38,8 @@
 export interface Prediction {
   /** Monotonic milliseconds. */
   atMs: number
-  /** Expected deviation from `atMs`, milliseconds. */
-  spreadMs: number
+  /** The use is expected within this time before and after `atMs`, milliseconds. */
+  marginMs: number
 }
 
 const MIN_PREDICTION_GAPS = 5
@@ -52,7 +52,7 @@
   const mean = recent.reduce((sum, gap) => sum + gap, 0) / recent.length
   const variance = recent.reduce((sum, gap) => sum + (gap - mean) ** 2, 0) / recent.length
   const deviation = Math.sqrt(variance)
-  return deviation <= mean * MAX_VARIATION_RATIO ? { atMs: lastUseMs + mean, spreadMs: 2 * deviation } : undefined
+  return deviation <= mean * MAX_VARIATION_RATIO ? { atMs: lastUseMs + mean, marginMs: 2 * deviation } : undefined
 }
 
 /** History of a model as kept in the store for the next leader. Wall-clock milliseconds. */
--- a/packages/magnoliabay/src/node/members/link.ts
+++ b/packages/magnoliabay/src/node/members/link.ts
@@ -17,9 +17,9 @@
 /** Interval of heartbeats on a monitored link. */
 export const HEARTBEAT_INTERVAL_MS = 1000
 /**
- * A link on which nothing arrives for this long is closed and dialled again. A connection that a device between the two
- * ends has lost track of stays open and silent for good: calls on it would time out one after another, while a new connection
- * works. Three missed heartbeats distinguish it from a short pause.
+ * A link on which nothing arrives for this long is closed and dialled again. When a network device between the two ends
+ * drops a connection's state, the connection stays open and silent: calls on it would time out one after another, while a
+ * new connection works. Three missed heartbeats distinguish it from a short pause.
  */
 export const SILENCE_TIMEOUT_MS = 3500
 /**
@@ -163,7 +163,7 @@
   }
   const handlers: { [Type in Frame['type']]: (frame: Extract<Frame, { type: Type }>, from: MemberRecord) => void } = {
     hello: () => {},
-    // A side that monitors the link relies on what it receives; on a permanent link both sides send heartbeats.
+    // A side that monitors the link sends heartbeats of its own. Only a side that does not has to answer those of the peer.
     beat: () => { if (!isMonitored()) send({ type: 'beat' }) },
     call: (frame, from) => { answerCall(frame, from) },
     reply: frame => pending.get(frame.id)?.settle(frame.ok ? Ok(frame.body) : Err(frame.body as PeerError)),
--- a/packages/magnoliabay/src/node/members/neighbours.ts
+++ b/packages/magnoliabay/src/node/members/neighbours.ts
@@ -1,9 +1,9 @@
 /**
  * Determines which members hold links to one another. Up to {@link MAX_FULL_MESH_MEMBERS} all do. In a larger fleet
- * each holds a bounded number, which every member derives alike from the list of members: a ring in hash order, which
- * connects the fleet, and distant partners on it, which keep every member within a few hops. Neighbourhood is mutual.
- * Each member computes only its own neighbours: otherwise each would go through all pairs at every change of the
- * members.
+ * each holds a bounded number, determined by the list of members alone: links to adjacent members on a ring in hash
+ * order, which connect the fleet, and to distant partners on it, which keep every member within a few hops.
+ * Neighbourhood is mutual. Each member computes only its own neighbours: otherwise each would go through all pairs at
+ * every change of the members.
  */
 import { stableHash } from '../utils'
 
@@ -11,7 +11,7 @@
 export const MAX_FULL_MESH_MEMBERS = 16
 /** Adjacent members on the ring, on each side. */
 const RING_NEIGHBOURS_PER_SIDE = 2
-/** Distant partners of a member, on average between this and twice as many. */
+/** Minimum of the mean number of distant partners per member; the maximum is twice as many. */
 const MIN_MEAN_PARTNERS = 2
 /** {@link mix} is uniformly distributed below this. */
 const MIX_RANGE = 2 ** 32
