--- a/packages/magnoliabay/src/node/entry/__tests__/services.spec.ts
+++ b/packages/magnoliabay/src/node/entry/__tests__/services.spec.ts
@@ -42,7 +42,7 @@
     elapseMs?: number
   }
   // The caller sends a deposit during the fault, and repeats it with the same key at another instance after the
-  // fault. Whatever response it got, the service has run it at most once; if it was told not run, not at all.
+  // fault. Whatever response it got, the service has run it at most once; if the response said not run, not at all.
   const CASES: readonly FaultCase[] = [
     { title: 'no fault', faults: {}, withKey: 'answer', withoutKey: 'answer', repeat: 'answer', runs: 1 },
     { title: 'servers are down', faults: { crash: true }, withKey: 'backend_failed not-run', withoutKey: 'backend_failed not-run', repeat: 'answer', runs: 1 },
--- a/packages/magnoliabay/src/node/entry/clientErrors.ts
+++ b/packages/magnoliabay/src/node/entry/clientErrors.ts
@@ -16,7 +16,7 @@
 
 /**
  * How long the rest of a body is read and discarded after the response. Closing a connection while the body
- * still arrives resets it: the caller's system then drops the unread response, and the caller sees a broken
+ * still arrives resets it: the caller's operating system then drops the unread response, and the caller sees a broken
  * connection in place of the refusal. A caller that still sends after this time is disconnected.
  */
 const DISCARD_TIMEOUT_MS = 2000
--- a/packages/magnoliabay/src/node/entry/completionRequest.ts
+++ b/packages/magnoliabay/src/node/entry/completionRequest.ts
@@ -10,7 +10,7 @@
 /** Estimated length of a token, for the reservation. The actual usage is settled afterwards. */
 const BYTES_PER_TOKEN = 4
 
-/** Length of the hashed prompt prefix in characters of JSON; system prompts of one site share about this much. */
+/** Length of the hashed prompt prefix, characters of JSON: system prompts of one site have about this much in common. */
 const MAX_PREFIX_LENGTH = 512
 const MIN_PREFIX_LENGTH = 128
 
--- a/packages/magnoliabay/src/node/entry/index.ts
+++ b/packages/magnoliabay/src/node/entry/index.ts
@@ -35,7 +35,7 @@
 
 /** Time for the failures of requests aborted by a shutdown to reach their callers. */
 const ABORT_RESPONSE_TIMEOUT_MS = 1000
-/** Longer than the callers' own timeout, so that a caller never sends on a connection that the server is closing. */
+/** Longer than callers keep idle connections open, so that none sends on a connection that the server is closing. */
 const KEEP_ALIVE_TIMEOUT_MS = 75_000
 /** Idle time after which TCP keep-alive probes start. */
 const TCP_KEEP_ALIVE_DELAY_MS = 15_000
--- a/packages/magnoliabay/src/node/entry/middleware/body.ts
+++ b/packages/magnoliabay/src/node/entry/middleware/body.ts
@@ -21,7 +21,7 @@
 
 const RETRY_AFTER_SECONDS = 1
 
-/** Reads the whole body within a size, a time, and the total for the bodies of all open requests. */
+/** Reads the whole body. Limits its size, its time to arrive, and the total size of the bodies of all open requests. */
 export function bodyMiddleware (clock: Clock, limits: BodyLimits, bodyBudget: BodyBudget = UNLIMITED): Handler {
   const failures: Record<Exclude<BodyProblem, 'broken-off'>, Failure> = {
     'too-large': createRefusal('body_too_large', `A body may have ${limits.maxBodyBytes} bytes at most.`),
--- a/packages/magnoliabay/src/node/entry/openRequests.ts
+++ b/packages/magnoliabay/src/node/entry/openRequests.ts
@@ -1,6 +1,6 @@
 /**
  * Tracks the open requests of this instance. Their number and the bytes of their bodies are bounded, so that
- * overload is refused early; a shutdown aborts those that outlast it.
+ * overload is refused early; a shutdown aborts those that do not end in time.
  */
 import type { ServerResponse } from 'node:http'
 import { createRefusal } from '../failures'
--- a/packages/magnoliabay/src/node/entry/queries.ts
+++ b/packages/magnoliabay/src/node/entry/queries.ts
@@ -22,16 +22,17 @@
 
 /**
  * Ranks entry instances for the caller's team, the first ones in different failure domains; leaving instances
- * are excluded. Callers may cache the response for `keepMs` milliseconds; a leaving instance serves that long.
+ * are excluded. Callers may cache the response for `cacheMs` milliseconds; a leaving instance continues to serve for
+ * that long.
  */
-export function locateHandler (peers: Peers, allowance: Allowance, keepMs: number): Handler {
+export function locateHandler (peers: Peers, allowance: Allowance, cacheMs: number): Handler {
   return function locate (req, res) {
     const byId = new Map(peers.members().filter(member => !member.leaving).map(member => [member.id, member]))
     const ranked = allowance.homeMembers(req.caller.team).flatMap(id => byId.get(id) ?? [])
     const addresses = spreadOverFailureDomains(ranked)
       .slice(0, MAX_LOCATE_ADDRESSES)
       .map(member => ({ address: member.entryAddress, failure_domain: member.failureDomain }))
-    sendJson(res, 200, { addresses, keep_seconds: Math.floor(keepMs / MS_PER_SECOND) })
+    sendJson(res, 200, { addresses, keep_seconds: Math.floor(cacheMs / MS_PER_SECOND) })
   }
 }
 
