--- a/packages/magnoliabay/src/node/queue/queue.ts
+++ b/packages/magnoliabay/src/node/queue/queue.ts
@@ -23,7 +23,7 @@
   team: string
   model: string
   workClass: WorkClass
-  /** Upper bound of tokens: prompt and answer. */
+  /** Upper bound of prompt and completion tokens. */
   reservedTokens: number
   /** Monotonic milliseconds by which the request has to be answered. */
   deadlineMs: number
@@ -68,7 +68,7 @@
 /** Capacity may grow without a call of `dispatch`, since load reports lag. */
 const POLL_INTERVAL_MS = 50
 const MS_PER_SECOND = 1000
-const MAX_RETRY_AFTER_S = 60
+const MAX_RETRY_AFTER_SECONDS = 60
 
 interface QueuedRequest extends WaitingRequest {
   settle: (result: Result<QueuePermit, Failure>) => void
@@ -179,7 +179,7 @@
     return tokensAhead / (tokensPerSecond * weightOf(req.team) / totalWeight) * MS_PER_SECOND
   }
   const overloadedRefusal = (message: string, waitMs: number): Failure =>
-    createRefusal('overloaded', message, Math.min(MAX_RETRY_AFTER_S, Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))))
+    createRefusal('overloaded', message, Math.min(MAX_RETRY_AFTER_SECONDS, Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))))
   /**
    * A team that sends several times its share must not take the places of other teams: when the queue is full, the team
    * with the most waiting requests relative to its weight loses its last one.
@@ -224,9 +224,9 @@
       if (canStartNow) return Ok(start({ ...req, enteredAtMs: now() }))
       if (req.signal.aborted || req.deadlineMs <= now()) return Err(createRefusal('deadline_exceeded', 'The deadline passed before the request got its turn.', 1))
       const estimatedMs = estimateWaitMs(req)
-      const leftMs = req.deadlineMs - now()
-      if (estimatedMs !== undefined && estimatedMs > leftMs) {
-        return Err(overloadedRefusal(`The wait would be about ${Math.ceil(estimatedMs / MS_PER_SECOND)} s, longer than the request's deadline.`, estimatedMs - leftMs))
+      const remainingMs = req.deadlineMs - now()
+      if (estimatedMs !== undefined && estimatedMs > remainingMs) {
+        return Err(overloadedRefusal(`The wait would be about ${Math.ceil(estimatedMs / MS_PER_SECOND)} s, longer than the request's deadline.`, estimatedMs - remainingMs))
       }
       if (waitingRequests.size() >= maxWaiting && !evictForTeam(req.team)) return Err(overloadedRefusal('Too many requests wait here.', estimatedMs ?? 0))
       return await enqueue(req)
--- a/packages/magnoliabay/src/node/queue/tokenCounters.ts
+++ b/packages/magnoliabay/src/node/queue/tokenCounters.ts
@@ -22,11 +22,11 @@
   let idleFloor = 0
 
   const valueOf = (name: string): number => counters.get(name) ?? 0
-  const leastActive = (): number => active.size === 0 ? idleFloor : Math.min(...[...active].map(valueOf))
+  const lowestActive = (): number => active.size === 0 ? idleFloor : Math.min(...[...active].map(valueOf))
   return {
     activate: name => {
       if (active.has(name)) return
-      counters.set(name, Math.max(valueOf(name), leastActive()))
+      counters.set(name, Math.max(valueOf(name), lowestActive()))
       active.add(name)
     },
     deactivate: name => {
--- a/packages/magnoliabay/src/node/queue/waitingRequests.ts
+++ b/packages/magnoliabay/src/node/queue/waitingRequests.ts
@@ -5,7 +5,7 @@
   team: string
   model: string
   workClass: WorkClass
-  /** Upper bound of tokens: prompt and answer. */
+  /** Upper bound of prompt and completion tokens. */
   reservedTokens: number
   /** Monotonic milliseconds. */
   deadlineMs: number
--- a/packages/magnoliabay/src/node/routing/index.ts
+++ b/packages/magnoliabay/src/node/routing/index.ts
@@ -103,7 +103,7 @@
       if (isReleased) return
       isReleased = true
       changeInFlight(engine, -1)
-      // A long answer counts as use until its end.
+      // A long response counts as use until its end.
       cells.recordUse(model, adapter)
     }
   }
--- a/packages/magnoliabay/src/node/routing/replicaWait.ts
+++ b/packages/magnoliabay/src/node/routing/replicaWait.ts
@@ -110,17 +110,17 @@
       const settle = (value: T | undefined): void => {
         modelWaits.get(req.model)?.waiters.delete(waiter)
         cancelTimer()
-        req.signal.removeEventListener('abort', giveUp)
+        req.signal.removeEventListener('abort', stopWaiting)
         resolve(value)
       }
-      const giveUp = (): void => settle(undefined)
+      const stopWaiting = (): void => settle(undefined)
       const retry = (): void => {
         const value = req.tryAcquire()
         if (value !== undefined) settle(value)
       }
       const waiter: Waiter = { model: req.model, adapter: req.adapter, deadlineMs: req.deadlineMs, weight: req.weight, retry }
-      cancelTimer = clock.schedule(req.deadlineMs - clock.monotonic(), giveUp)
-      req.signal.addEventListener('abort', giveUp, { once: true })
+      cancelTimer = clock.schedule(req.deadlineMs - clock.monotonic(), stopWaiting)
+      req.signal.addEventListener('abort', stopWaiting, { once: true })
       add(waiter)
     })
   }
