--- a/packages/magnoliabay/src/node/admission/keyring.ts
+++ b/packages/magnoliabay/src/node/admission/keyring.ts
@@ -40,7 +40,7 @@
 }
 
 const BEARER = /^Bearer +(\S+)$/i
-const RETRY_ELSEWHERE_S = 1
+const RETRY_AFTER_SECONDS = 1
 
 export function createKeyring (options: KeyringOptions): Keyring {
   const { store, peers, clock, logger } = options
@@ -77,7 +77,7 @@
   return {
     authenticate: authorization => {
       if (authorization === undefined) return Err(createRefusal('missing_key', 'Send your key as `Authorization: Bearer <key>`.'))
-      if (!freshness.isRecent()) return Err(createRefusal('store_unavailable', 'This instance cannot check keys just now. Use another one.', RETRY_ELSEWHERE_S))
+      if (!freshness.isRecent()) return Err(createRefusal('store_unavailable', 'This instance cannot check keys just now. Use another one.', RETRY_AFTER_SECONDS))
       const parts = splitKey(BEARER.exec(authorization)?.[1] ?? '')
       const record = parts === undefined ? undefined : records.get(parts.id)
       if (parts === undefined || record === undefined || !secretMatches(record, parts.secret)) {
--- a/packages/magnoliabay/src/node/admission/persistWithdrawals.ts
+++ b/packages/magnoliabay/src/node/admission/persistWithdrawals.ts
@@ -1,6 +1,7 @@
 /**
- * Writes withdrawals that spread between peers while the store was unavailable to the store once it answers again.
- * Otherwise a withdrawal would be lost when the last instance that knows it is replaced.
+ * Persists withdrawals that were made while the store was unavailable and that only instances know so far: writes them
+ * to the store once it answers again. Otherwise a withdrawal would be lost when the last instance that knows it is
+ * replaced.
  */
 import type { Clock } from '../clock'
 import { repeat } from '../clock'
--- a/packages/magnoliabay/src/node/admission/withdrawalFreshness.ts
+++ b/packages/magnoliabay/src/node/admission/withdrawalFreshness.ts
@@ -1,5 +1,5 @@
 /**
- * Tells whether this instance still learns of withdrawals.
+ * Checks whether this instance still receives withdrawals.
  *
  * An instance that reaches neither the store nor any peer, or that has just resumed after a long pause, doesn't know
  * which keys have been withdrawn meanwhile, and would admit their callers for as long as it is cut off. It refuses
--- a/packages/magnoliabay/src/node/admission/withdrawals.ts
+++ b/packages/magnoliabay/src/node/admission/withdrawals.ts
@@ -49,7 +49,7 @@
   let keyHashSum = 0
 
   const digest = (): string => `${known.size}:${keyHashSum}`
-  const note = (withdrawal: Withdrawal): void => {
+  const addWithdrawal = (withdrawal: Withdrawal): void => {
     if (known.has(withdrawal.keyId)) return
     known.set(withdrawal.keyId, withdrawal)
     keyHashSum = (keyHashSum + stableHash(withdrawal.keyId)) % DIGEST_RANGE
@@ -57,22 +57,22 @@
   }
   const syncWith = async (memberId: string): Promise<boolean> => {
     const reply = await peers.call(memberId, syncCall, { digest: digest() }, { timeoutMs: SYNC_TIMEOUT_MS })
-    if (reply.ok) reply.val.withdrawals.forEach(note)
+    if (reply.ok) reply.val.withdrawals.forEach(addWithdrawal)
     return reply.ok
   }
 
-  peers.listen(keyWithdrawn, note)
+  peers.listen(keyWithdrawn, addWithdrawal)
   peers.serve(syncCall, req => ({ withdrawals: req.digest === digest() ? [] : [...known.values()] }))
   // A member that was unreachable while a key was withdrawn has missed the notice.
   peers.onConnected(member => { syncWith(member.id) })
 
   return {
-    record: note,
+    record: addWithdrawal,
     syncWith,
     has: keyId => known.has(keyId),
     all: () => [...known.values()],
     announce: withdrawal => {
-      note(withdrawal)
+      addWithdrawal(withdrawal)
       peers.notifyAll(keyWithdrawn, withdrawal)
     },
     onRecorded: recorded.add
--- a/packages/magnoliabay/src/node/platform/__tests__/kvStore.spec.ts
+++ b/packages/magnoliabay/src/node/platform/__tests__/kvStore.spec.ts
@@ -94,7 +94,8 @@
   /**
    * Guards against requests that are sent to a server for two seconds after its entry was removed. A process starts and
    * becomes leader, and a server leaves. If the process took its first contact for the store becoming reachable again, it
-   * would treat the removal as a possible lapse of the lease and delay it, for itself and for all that follow it.
+   * would treat the removal as a possible expiry of the server's lease and delay it, for itself and for all that follow
+   * it.
    */
   it('does not count its first contact as the store becoming reachable again, but a later one', async () => {
     await store.get('a')
@@ -121,7 +122,7 @@
 
   /**
    * Guards against an instance that keeps an old configuration forever. The store drops its history while the watch is
-   * interrupted, so that no event reports the changes made meanwhile. The watch is told so and must read everything again.
+   * interrupted, so that no event reports the changes made meanwhile. The client must then read everything again.
    */
   it('reads everything again when the store has dropped its history', async () => {
     const seenTwice = watchUntil('a/', ({ snapshots }) => snapshots.length >= 2)
--- a/packages/magnoliabay/src/node/platform/metadataStore.ts
+++ b/packages/magnoliabay/src/node/platform/metadataStore.ts
@@ -161,7 +161,7 @@
   }
   const eraChangedError: StoreError = { kind: 'unknown', message: 'The store went back to an older copy meanwhile.' }
   const leaseLostError: StoreError = { kind: 'lease-lost', message: 'The lease was granted before the store went back to an older copy.' }
-  /** The store may have granted the number of such a lease to another process since. */
+  /** Such a lease is lost: the store may since have granted a lease of the same number to another process. */
   const isLeaseOfEarlierEra = (leaseId: string | undefined): boolean => leaseId !== undefined && eraOfLease(leaseId) < era
   const invalidError = (response: Pick<StoreResponse, 'status'>): StoreError => ({ kind: 'invalid', message: `The store answered ${response.status}.` })
 
@@ -243,7 +243,7 @@
   const deliver = (items: readonly WireItem[], responseEra: number): void => items.forEach(item =>
     subscribers.filter(({ prefix }) => item.key.startsWith(prefix)).forEach(({ handlers }) => handlers.onEvent(toEvent(item, responseEra))))
   const watch = async (prefixWatch: PrefixWatch, { after, waitMs, timeoutMs, signal }: WatchRequest): Promise<WatchOutcome> => {
-    // The new history may have passed that revision: a watch from it would never report the changes before it.
+    // The new history may have passed that revision: a watch from there would never report the new changes before it.
     if (eraOfRevision(after) < era) return { kind: 'history-gone' }
     const res = await call('GET', `/-/kv-watch?prefix=${encodeURIComponent(prefixWatch.prefix)}&after=${toStoredRevision(after)}&wait-ms=${waitMs}`, { timeoutMs, signal })
     if (res.err) return res.val.kind === 'given-up' ? { kind: 'cut' } : { kind: 'failed', err: res.val }
--- a/packages/magnoliabay/src/node/report/__tests__/report.spec.ts
+++ b/packages/magnoliabay/src/node/report/__tests__/report.spec.ts
@@ -12,7 +12,7 @@
 
 describe('report on error-budget burn', () => {
   // No failure may burn two budgets, and a failure caused by the caller burns none. Otherwise one lost key
-  // alerts somebody, and one outage pages for several objectives at once.
+  // causes an alert, and one outage pages for several objectives at once.
   const CASES: ReadonlyArray<{ name: string, seen: Partial<Observation>, bad: string[], good: string[] }> = [
     { name: 'answered, warm, in time', seen: { firstTokenMs: 800 }, bad: [], good: ['within-rate', 'availability', 'first-token'] },
     { name: 'answered, warm, late', seen: { firstTokenMs: 900 }, bad: ['first-token'], good: ['within-rate', 'availability'] },
--- a/packages/magnoliabay/src/node/report/html.ts
+++ b/packages/magnoliabay/src/node/report/html.ts
@@ -3,7 +3,7 @@
 import type { BurnLine, BurnReport } from '.'
 import { escapeHtml } from './escape'
 import { WINDOW_NAMES } from './burnRate'
-import { formatAlert, formatShare, formatGoodShare } from './table'
+import { formatAlert, formatPercentage, formatGoodPercentage } from './table'
 
 const STYLE = `
 :root { color-scheme: light; --text: #1d2733; --quiet: #5d6b7a; --line: #d8dee6; --fine: #4a7fb5; --slow: #d58a1b; --fast: #b8322a; }
@@ -45,13 +45,13 @@
 function renderRow (line: BurnLine): string {
   const total = line.tally.good + line.tally.bad
   const rates = WINDOW_NAMES.map(window => total === 0 ? '–' : line.rates[window].toFixed(2))
-  const cells = [formatShare(line.target), String(total), formatGoodShare(line).replace('-', '–'), ...rates, formatAlert(line)]
+  const cells = [formatPercentage(line.target), String(total), formatGoodPercentage(line).replace('-', '–'), ...rates, formatAlert(line)]
   return `<tr class="${line.alert?.severity ?? ''}"><td class="name">${escapeHtml(line.team)}</td><td class="name">${line.objective}</td>${cells.map(cell => `<td>${cell}</td>`).join('')}</tr>`
 }
 
 function renderTeam (team: string, report: BurnReport): string {
   const lines = report.lines.filter(line => line.team === team && line.tally.good + line.tally.bad > 0)
   if (lines.length === 0) return ''
-  const charts = lines.map(line => `<figure><figcaption>${line.objective}, target ${formatShare(line.target)}</figcaption>${renderBurnChart(line, report.atMs)}</figure>`)
+  const charts = lines.map(line => `<figure><figcaption>${line.objective}, target ${formatPercentage(line.target)}</figcaption>${renderBurnChart(line, report.atMs)}</figure>`)
   return `<h2>${escapeHtml(team)}</h2><div class="charts">${charts.join('')}</div>`
 }
--- a/packages/magnoliabay/src/node/report/index.ts
+++ b/packages/magnoliabay/src/node/report/index.ts
@@ -40,7 +40,7 @@
   recordRequest (observation: Observation): void
   /** Builds the report from the counts of all instances that respond. */
   collect (): Promise<BurnReport>
-  /** Transfers the counts to a peer, since the replacement of an instance would lose three days of counts. */
+  /** Transfers the counts to a peer. Otherwise three days of counts would be lost when this instance is replaced. */
   handOver (): void
 }
 
--- a/packages/magnoliabay/src/node/report/objectives.ts
+++ b/packages/magnoliabay/src/node/report/objectives.ts
@@ -22,7 +22,7 @@
   isGood: boolean
 }
 
-/** Failures caused by the caller. They count for no objective, so that a wrong key alerts nobody. */
+/** Failures caused by the caller. They count for no objective, so that a wrong key causes no alert. */
 const CALLER_FAILURE_CODES: ReadonlySet<FailureCode | 'ok'> = new Set<FailureCode>([
   'bad_request', 'body_too_large', 'body_timeout', 'missing_key', 'invalid_key', 'key_withdrawn', 'forbidden_model',
   'unknown_model', 'unknown_service', 'not_found', 'over_allowance', 'idempotency_conflict', 'idempotency_in_progress',
--- a/packages/magnoliabay/src/node/report/table.ts
+++ b/packages/magnoliabay/src/node/report/table.ts
@@ -13,13 +13,13 @@
   return [table, ...unheard].join('\n')
 }
 
-export function formatShare (share: number): string {
+export function formatPercentage (share: number): string {
   return `${(share * 100).toFixed(2)}%`
 }
 
-export function formatGoodShare ({ tally }: BurnLine): string {
+export function formatGoodPercentage ({ tally }: BurnLine): string {
   const total = tally.good + tally.bad
-  return total === 0 ? NO_REQUESTS : formatShare(tally.good / total)
+  return total === 0 ? NO_REQUESTS : formatPercentage(tally.good / total)
 }
 
 export function formatAlert ({ alert }: BurnLine): string {
@@ -31,9 +31,9 @@
   return [
     line.team,
     line.objective,
-    formatShare(line.target),
+    formatPercentage(line.target),
     String(total),
-    formatGoodShare(line),
+    formatGoodPercentage(line),
     ...SHOWN_WINDOWS.map(window => total === 0 ? NO_REQUESTS : line.rates[window].toFixed(2)),
     formatAlert(line)
   ]
