--- a/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
@@ -132,14 +132,14 @@
     }
     const subscribersOf = ({ prefix: root }: PrefixWatch): Subscriber[] => subscribers.filter(({ prefix }) => prefix.startsWith(root))
     const calls: WatchClient = {
-      readAll: async feed => {
-        const read = await store.range(feed.prefix)
+      readAll: async prefixWatch => {
+        const read = await store.range(prefixWatch.prefix)
         if (read.err) return undefined
         const { entries, revision } = read.val
-        subscribersOf(feed).forEach(({ prefix, handlers }) => handlers.onSnapshot({ revision, entries: entries.filter(({ key }) => key.startsWith(prefix)) }))
+        subscribersOf(prefixWatch).forEach(({ prefix, handlers }) => handlers.onSnapshot({ revision, entries: entries.filter(({ key }) => key.startsWith(prefix)) }))
         return revision
       },
-      watch: (feed, { after, waitMs, signal }) => new Promise(resolve => {
+      watch: (prefixWatch, { after, waitMs, signal }) => new Promise(resolve => {
         instance().calls += 1
         let cancelWatch = (): void => {}
         const end = (result: WatchOutcome): void => {
@@ -151,7 +151,7 @@
           if (signal.aborted) return
           connectivity.recordCall(!isStoreDown(), 'a watch', 'turned away')
           if (isStoreDown()) return end({ kind: 'failed', err: { kind: 'unavailable', message: 'turned away' } })
-          events.forEach(({ kind, entry }) => subscribersOf(feed)
+          events.forEach(({ kind, entry }) => subscribersOf(prefixWatch)
             .filter(({ prefix }) => entry.key.startsWith(prefix))
             .forEach(({ handlers }) => handlers.onEvent({ ...entry, kind })))
           end({ kind: 'answered', revision: at, hadEvents: events.length > 0 })
@@ -159,7 +159,7 @@
         const cancelWait = clock.schedule(isStoreDown() ? 0 : waitMs, () => answer([], state.revision()))
         signal.addEventListener('abort', () => end({ kind: 'cut' }), { once: true })
         const atOf = (events: readonly KvEvent[]): number => Math.max(...events.map(({ entry }) => entry.modRevision))
-        const watch = state.watch({ key: feed.prefix, end: prefixEnd(feed.prefix) }, after + 1, events => { if (!isStoreDown()) answer(events, atOf(events)) })
+        const watch = state.watch({ key: prefixWatch.prefix, end: prefixEnd(prefixWatch.prefix) }, after + 1, events => { if (!isStoreDown()) answer(events, atOf(events)) })
         if (watch.kind === 'compacted') return end({ kind: 'history-gone' })
         cancelWatch = watch.cancel
         if (watch.backlog.length > 0 && !isStoreDown()) clock.schedule(0, () => answer(watch.backlog, atOf(watch.backlog)))
@@ -200,7 +200,7 @@
       isLinked: networkPeers.isConnected,
       leader: () => leadership.isLeaseHolder() ? id : leadership.leaseHolder(),
       own: () => reportOf({ inFlight: [...inFlight].map(([server, count]) => ({ server, model: 'a', count })), storeAgeMs: storeAgeMs(), isReady: cfg.version() > 0 }),
-      spentWithDownstream: () => [],
+      spendingWithDownstream: () => [],
       leading: () => leadership.ownClaim(),
       latestClaim: () => leadership.latestClaimRevision(),
       summary: () => ({ configVersion: cfg.version(), storeAgeMs: storeProxy.contact().ageMs, storeSteadyMs: storeProxy.contact().steadyMs, spent: [], evacuation: evacuations.state(), listDigest: servers.digest(), membersDigest: membership.digest() }),
--- a/packages/magnoliabay/src/node/serving/allowance/allowanceLimiter.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/allowanceLimiter.ts
@@ -25,7 +25,7 @@
 /** A process that knows no other member by then takes itself for the only one. */
 const MEMBER_DISCOVERY_TIMEOUT_MS = 2000
 const MEMBER_DISCOVERY_RETRY_DELAY_MS = 300
-/** By then a home that was unreachable is asked again. */
+/** Retry delay for a request that the instance's own share does not cover, milliseconds: the home is asked again by then. */
 const SHARE_RETRY_DELAY_MS = 1000
 /** Part of the tolerance that a home uses while the store accepts no records; the rest is for instances that cannot reach it. */
 const UNRECORDED_TOLERANCE_RATIO = 0.5
@@ -66,7 +66,7 @@
   /** Records the spending reported by a process. Its last report counts for one window after its end. */
   recordPeerSpending (incarnation: string, amounts: readonly TeamSpending[]): void
   /** Returns what this instance and the members that report to it have spent. */
-  subtreeSpending (): readonly TeamSpending[]
+  spendingWithDownstream (): readonly TeamSpending[]
   /** Returns what all members have spent, as far as reported to this instance. */
   fleetSpending (): readonly TeamSpending[]
   /** Records the spending of all members, as sent by an instance that receives all reports. */
@@ -133,11 +133,11 @@
   /** Returns the reported spending, weighted down by age: the spending of a process that has ended leaves the window gradually. */
   const weightedReportsOf = (team: string): number[] => [...reports.values()].filter(isCurrent)
     .map(each => (each.unitsByTeam.get(team) ?? 0) * (1 - (clock.monotonic() - each.reportedAtMs) / windowMs))
-  const subtreeSpent = (team: string): number => weightedReportsOf(team).reduce((sum, units) => sum + units, ownCounterOf(team).spent(clock.monotonic()))
+  const spentWithDownstream = (team: string): number => weightedReportsOf(team).reduce((sum, units) => sum + units, ownCounterOf(team).spent(clock.monotonic()))
   /** Each process reports to this instance, or one reports for all. Both are the same sum, and either may be older. */
   const fleetSpent = (team: string): number => {
     const reported = fleetReport !== undefined && isCurrent(fleetReport) ? fleetReport.unitsByTeam.get(team) ?? 0 : 0
-    return Math.max(subtreeSpent(team), reported)
+    return Math.max(spentWithDownstream(team), reported)
   }
   const spendingByTeam = (sumOf: (team: string) => number): TeamSpending[] => {
     const teams = new Set([...ownCounters.keys(), ...[...reports.values()].flatMap(each => [...each.unitsByTeam.keys()])])
@@ -163,21 +163,21 @@
     clock,
     logger
   })
-  const takeAsHome = (team: Team, amount: number, spentApart: number): Promise<number> => {
+  const takeAsHome = (team: Team, amount: number, spentFromShare: number): Promise<number> => {
     const ledger = ledgers.get(team.name) ?? createLedger(team)
     ledgers.set(team.name, ledger)
-    ledger.recordShareSpending(spentApart)
+    ledger.recordShareSpending(spentFromShare)
     return ledger.take(amount)
   }
   const dropLedger = (team: string): void => {
     ledgers.get(team)?.close()
     ledgers.delete(team)
   }
-  peers.serve(takeCall, async ({ team: name, amount, apart: spentApart }) => {
+  peers.serve(takeCall, async ({ team: name, amount, apart: spentFromShare }) => {
     const team = findTeam(name)
     // A home that has just started knows no team: whatever it granted would be in addition to what the team has spent.
     if (team === undefined) return { waitMs: undefined }
-    return { waitMs: team.rate === 0 ? 0 : await takeAsHome(team, amount, spentApart) }
+    return { waitMs: team.rate === 0 ? 0 : await takeAsHome(team, amount, spentFromShare) }
   })
   peers.listen(refundNotice, ({ team: name, amount }) => ledgers.get(name)?.refund(amount))
   const recordHomeDecision = (team: Team, amount: number, waitMs: number): AllowanceDecision => {
@@ -192,8 +192,8 @@
     const knownShare = Math.min(limitOf(team) / memberCount, ownSpent + remainingShare)
     // A process that lacks history does not know what was spent before, so it spends only its share of the tolerance.
     const limit = lacksHistory() ? toleranceOf(team) * (1 - UNRECORDED_TOLERANCE_RATIO) / memberCount : knownShare
-    // An amount above the team's limit passes an empty window. One that is above the share alone does not, since each
-    // instance that restarts during a partition would grant one.
+    // An amount above the team's limit is granted if the window is empty. One that is only above the share is not, since
+    // each instance that restarts during a partition would grant one.
     if (amount > limit && amount <= limitOf(team)) return { waitMs: SHARE_RETRY_DELAY_MS, decidedBy: 'share' }
     const waitMs = ownCounterOf(team.name).take(amount, limit, clock.monotonic())
     if (waitMs === 0) addCount(uncountedUnits, team.name, amount)
@@ -250,7 +250,7 @@
       reports.forEach((each, key) => { if (clock.monotonic() - each.reportedAtMs > windowMs) reports.delete(key) })
       reports.set(incarnation, toReport(spent))
     },
-    subtreeSpending: () => spendingByTeam(subtreeSpent),
+    spendingWithDownstream: () => spendingByTeam(spentWithDownstream),
     fleetSpending: () => spendingByTeam(fleetSpent),
     recordFleetSpending: spent => { fleetReport = toReport(spent) }
   }
--- a/packages/magnoliabay/src/node/serving/allowance/homeLedger.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/homeLedger.ts
@@ -91,7 +91,7 @@
   logger: Logger
 }
 
-/** Names for the log the source of a home's initial spending. */
+/** Returns the source of a home's initial spending, for the log. */
 function sourceOf (isRead: boolean, record: SpendingRecord | undefined): 'record' | 'no record' | 'reported spending' {
   if (!isRead) return 'reported spending'
   return record === undefined ? 'no record' : 'record'
@@ -289,7 +289,7 @@
 
   return {
     take: async amount => {
-      for (let turn = 0; turn < MAX_TAKE_ATTEMPTS; turn += 1) {
+      for (let attempt = 0; attempt < MAX_TAKE_ATTEMPTS; attempt += 1) {
         const taken = await takeOnce(amount)
         if (taken !== 'superseded') return taken
       }
--- a/packages/magnoliabay/src/node/serving/allowance/peerFallbackStore.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/peerFallbackStore.ts
@@ -17,7 +17,7 @@
 
 /** A peer that reaches the store replies in milliseconds, or in some tenths of a second while the store is slow. */
 const PEER_TIMEOUT_MS = 700
-/** Most peers that are asked, one after the other. */
+/** Largest number of peers that are asked, one after the other. */
 const MAX_PEERS = 3
 
 export type RecordStore = Pick<Store, 'get' | 'transact'>
--- a/packages/magnoliabay/src/node/serving/allowance/slidingWindowCounter.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/slidingWindowCounter.ts
@@ -1,6 +1,6 @@
 /**
  * Counts spending within a sliding window against a limit. A team's allowance is its rate over the window plus its burst.
- * A token bucket of the same rate and burst would refuse a team whose requests arrive in clusters though within that.
+ * A token bucket of the same rate and burst would refuse requests that arrive in clusters, even within that allowance.
  */
 
 export interface SlidingWindowCounter {
--- a/packages/magnoliabay/src/node/serving/allowance/spendingRecord.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/spendingRecord.ts
@@ -33,13 +33,13 @@
   return isRecord ? read as SpendingRecord : undefined
 }
 
-/** Merges two counts of the same spending, each of which may lack some: the minimum that holds as much as either by age. */
+/** Merges two incomplete counts of the same spending: the sum within each age is the larger of the two. */
 export function mergeByAge (one: readonly number[], other: readonly number[]): number[] {
-  const most = sumsWithinAges(one).map((sum, part) => Math.max(sum, sumsWithinAges(other)[part]!))
-  return most.map((sum, part) => sum - (most[part - 1] ?? 0))
+  const maxSums = sumsWithinAges(one).map((sum, part) => Math.max(sum, sumsWithinAges(other)[part]!))
+  return maxSums.map((sum, part) => sum - (maxSums[part - 1] ?? 0))
 }
 
-/** Returns the cumulative spending within each age, the youngest first. */
+/** Returns the cumulative spending within each age, the smallest age first. */
 export function sumsWithinAges (byAge: readonly number[], reserved = 0): number[] {
   let sum = reserved
   return Array.from({ length: RECORD_PARTS }, (_, part) => {
@@ -49,7 +49,7 @@
 }
 
 /**
- * Counts a record as if it had just been written, since only wall clocks could tell its age, and they jump. This costs a
+ * Counts a record as if it had just been written, since only wall clocks could show its age, and they jump. This costs a
  * team what would have left the window in the second or two that a restart takes.
  */
 export function applyRecord (spending: SlidingWindowCounter, record: Pick<SpendingRecord, 'byAge' | 'reserved'>, windowMs: number, nowMs: number): void {
--- a/packages/magnoliabay/src/node/serving/fleetView.ts
+++ b/packages/magnoliabay/src/node/serving/fleetView.ts
@@ -32,7 +32,7 @@
 /** Reports and summaries are dropped after this many intervals without a new one, and not before this many milliseconds. */
 const STALE_INTERVALS = 4
 const MIN_STALE_MS = 2500
-/** A summary no longer replaces reading the store after this many intervals, and not before this many milliseconds. */
+/** An instance reads the store itself once the last summary is older than this many intervals and this many milliseconds. */
 const FRESH_INTERVALS = 3
 const MIN_FRESH_MS = 750
 /** A leader without contact to the store for longer than this cannot report its changes. */
@@ -65,7 +65,7 @@
   /** The report of this instance alone. */
   own: () => InstanceReport
   /** Spending of this instance and its downstream. */
-  spentWithDownstream: () => InstanceReport['spent']
+  spendingWithDownstream: () => InstanceReport['spent']
   /** The claim by which this instance leads. */
   leading: () => LeadershipTerm | undefined
   /** Revision of the latest known claim. */
@@ -208,7 +208,7 @@
       demand: [...current.demand, ...totals.demandByModel()],
       leavingServers: [...new Set([...current.leavingServers, ...totals.leavingServers()])],
       silentServers: [...current.silentServers, ...totals.silentServers()],
-      spent: options.spentWithDownstream(),
+      spent: options.spendingWithDownstream(),
       below: states.map(({ id }) => ({ id, isReady: isReadyAndLinked(totals.stateOf(id)!) }))
     }
   }
@@ -260,8 +260,8 @@
     isFollowing: () => {
       if (isLeading() || latestSummary === undefined) return false
       const ageMs = clock.monotonic() - latestSummary.atMs
-      // A leader that has just regained the store delays removals, since they may be lapsed entries. An instance that kept
-      // contact to the store would get them too late, and uses its own watch.
+      // A leader that has just regained contact to the store delays removals, since the entries may only have expired
+      // meanwhile. An instance that did not lose contact to the store would get them too late, and uses its own watch.
       if (latestSummary.summary.storeSteadyMs + ageMs < STORE_RECOVERY_MS) return false
       // Relays are the first to notice that the leader has ended. Their downstream waits for summaries of the next leader.
       if (upstream.isRelayed() && isSentByLeader() && !options.isLinked(latestSummary.sender)) return false
--- a/packages/magnoliabay/src/node/serving/servingInstance.ts
+++ b/packages/magnoliabay/src/node/serving/servingInstance.ts
@@ -95,13 +95,13 @@
   shutdown (): Promise<void>
 }
 
-/** Requests for a model are averaged over this long, milliseconds: as long as a rarely used model is likely to stay loaded. */
+/** Averaging time of the request rate of a model, milliseconds: as long as a rarely used model is likely to stay loaded. */
 const DEMAND_AVERAGE_MS = 8000
-/** Lower rates are not reported, requests per second. */
+/** Rate above which the requests for a model are reported, requests per second. */
 const MIN_REPORTED_RATE = 0.02
 /** Part of the retry budget that is used; the rest covers differences between the counts of two instances. */
 const RETRY_BUDGET_RATIO = 0.5
-/** Callers use an address for up to three times the two seconds that they are given, milliseconds. */
+/** Callers use an address for up to three times its stated lifetime of two seconds, milliseconds. */
 const MAX_ADDRESS_USE_MS = 6000
 /**
  * A stream that begins after this part of the grace period would be cut off at its end, since streams take some seconds.
@@ -114,7 +114,7 @@
 const CRASHES_TO_REFUSE = 3
 /** Callers send such a request again within seconds; the same bytes a minute later may be another request. */
 const SUSPECT_RETENTION_MS = 60_000
-/** An isolated instance has had no contact to the store for this long, which is longer than a watch takes to respond, milliseconds. */
+/** Time without contact to the store after which an instance may count as isolated, milliseconds: longer than a watch takes to respond. */
 const ISOLATED_STORE_AGE_MS = 5500
 /** An instance with links to fewer than this part of the others is in the minority of a network partition. */
 const ISOLATED_LINK_RATIO = 0.4
@@ -125,7 +125,7 @@
 /** Time left of the grace period when the process ends by itself, milliseconds. */
 const SHUTDOWN_MARGIN_MS = 600
 
-/** A machine that is running refuses a connection within a round trip, milliseconds. */
+/** Longest wait for a connection attempt, milliseconds: a running machine whose process has ended refuses one within a round trip. */
 const PROCESS_PROBE_TIMEOUT_MS = 500
 
 export function createServingInstance (options: ServingInstanceOptions): ServingInstance {
@@ -214,7 +214,7 @@
     isLinked,
     leader,
     own: ownReport,
-    spentWithDownstream: () => allowance.subtreeSpending(),
+    spendingWithDownstream: () => allowance.spendingWithDownstream(),
     leading: () => leadership.ownClaim(),
     latestClaim: () => leadership.latestClaimRevision(),
     beforeSummary: () => dissemination.sendChanges(),
@@ -249,8 +249,8 @@
   /** Only neighbours and relays probe a member's process: they are few, have links to the leader, and see a link end. */
   const hasProcessEnded = async (member: string): Promise<boolean> => {
     const record = peers.members().find(each => each.id === member)
-    const mayTell = peers.linkStateOf(member) === 'unlinked' || (fleetView.isRelay() && !isLinked(member))
-    return record !== undefined && mayTell && await probeAddress(clock, parseHostPort(record.peerAddress), PROCESS_PROBE_TIMEOUT_MS) === 'refused'
+    const shouldProbe = peers.linkStateOf(member) === 'unlinked' || (fleetView.isRelay() && !isLinked(member))
+    return record !== undefined && shouldProbe && await probeAddress(clock, parseHostPort(record.peerAddress), PROCESS_PROBE_TIMEOUT_MS) === 'refused'
   }
   const leadership = createLeaderElection({
     store,
