--- a/packages/magnoliabay/src/node/serving/placement/__tests__/engineOrders.spec.ts
+++ b/packages/magnoliabay/src/node/serving/placement/__tests__/engineOrders.spec.ts
@@ -218,7 +218,8 @@
    * Guards against an engine that is ordered to load more than its memory holds and crashes.
    * 1. The leader is cut off from the store; a peer renews its lease, and it relies on reports. 2. The engine unloads b,
    * loads c, and is ordered to unload a. 3. The store is reachable again and delivers older entries: one without b, c and
-   * a could be mistaken for the end of the pending order. 4. The accounts would then have room to load c once more.
+   * a could be mistaken for the end of the pending order. 4. By the accounts there would then be memory to load c
+   * once more.
    */
   it('ignores entries written while the store was unreachable', async () => {
     const harness = createHarness([loadedModel('a'), loadedModel('b')])
--- a/packages/magnoliabay/src/node/serving/placement/__tests__/plan.spec.ts
+++ b/packages/magnoliabay/src/node/serving/placement/__tests__/plan.spec.ts
@@ -80,8 +80,8 @@
 
   /**
    * Guards against refusing hundreds of callers of a busy model whose only engine has ended.
-   * 1. Several rare models are waited for, some for long. 2. Callers of the busy model are told at once to retry, so none
-   * waits long for it. 3. It is loaded first nevertheless, since more callers arrive every second.
+   * 1. Several rare models are waited for, some for long. 2. Callers of the busy model are refused at once and retry, so
+   * none waits long for it. 3. It is loaded first nevertheless, since more callers arrive every second.
    */
   it('loads a busy model without replicas before rare ones that have waited longer', () => {
     const engines = [engine('e', ['rare4'])]
--- a/packages/magnoliabay/src/node/serving/placement/engineOrders.ts
+++ b/packages/magnoliabay/src/node/serving/placement/engineOrders.ts
@@ -44,7 +44,7 @@
   servers: ServerList
   cfg: ServingConfigProvider
   engines: EngineCalls
-  /** Since when the store has answered every call, monotonic milliseconds. */
+  /** Time since which the store has answered every call, monotonic milliseconds. */
   storeReachableSinceMs: () => number
   clock: Clock
   logger: Logger
--- a/packages/magnoliabay/src/node/serving/placement/leaderElection.ts
+++ b/packages/magnoliabay/src/node/serving/placement/leaderElection.ts
@@ -126,7 +126,7 @@
   const leaseMs = Math.max(LEASE_TTL_MS, options.minLeaseMs)
   let term: LeaderTerm | undefined
   let confirmedAt: Timestamp | undefined
-  /** Whether a first snapshot has arrived; before it, it is unknown whether there is a lease holder. */
+  /** Whether a first snapshot has arrived; until then it is unknown whether there is a lease holder. */
   let hasSnapshot = false
   let leader: Versioned<LeaderClaim> = versionedOf(undefined)
   /** Latest known revision of a claim or of its end; claims from peers may be older. */
@@ -161,7 +161,7 @@
     return uninterruptedEra === era && era > 0
   }
   /** A missing record proves nothing in a later era: a rollback of the store may have lost it. */
-  const hasNobodyOrdered = ({ lastOrder: record }: LeaderRecords): boolean => record.revision === 0 && options.isFirstStart && options.era() === firstEra
+  const hasNoMachineOrdered = ({ lastOrder: record }: LeaderRecords): boolean => record.revision === 0 && options.isFirstStart && options.era() === firstEra
   /**
    * Whether the claim may be replaced now. A claim of this machine belongs to an earlier process. If this machine was the
    * last to order, the holder of any other claim has ordered nothing yet, and this machine need not wait: orders continue
@@ -170,11 +170,11 @@
   const mayClaim = (records: LeaderRecords): boolean =>
     records.leader.value === undefined || records.leader.value.machine === machine || wasLastToOrder(records)
   /**
-   * The previous leader ordered nothing after its lease was released. The time of release is used only if nobody has
+   * The previous leader ordered nothing after its lease was released. The time of release is used only if no machine has
    * ordered since: the last-order record changes with each claim of the machine that it names.
    */
   const earliestOrderMs = (records: LeaderRecords): number => {
-    if (wasLastToOrder(records) || hasNobodyOrdered(records)) return clock.monotonic()
+    if (wasLastToOrder(records) || hasNoMachineOrdered(records)) return clock.monotonic()
     const isReleaseTimeKnown = leaseRelease?.lastOrderRevision === records.lastOrder.revision && records.lastOrder.value?.era === options.era()
     const freeSinceMs = isReleaseTimeKnown ? leaseRelease!.atMs : clock.monotonic()
     return freeSinceMs + options.orderLeaseMs
@@ -230,7 +230,7 @@
     if (term !== ownTerm) return
     if (renewed.err) {
       if (renewed.val.kind === 'lease-lost') return endTerm('lease ended')
-      // While the store is unreachable for all instances, no other can take the lease, and its time may not run at all.
+      // While the store is unreachable for all instances, no other can take the lease, and the lease may not expire at all.
       if (wasConfirmed && !isConfirmed()) logger.warn('orderer-paused', { fence: ownTerm.fence, reason: 'lease not renewed in time' })
       return
     }
@@ -238,7 +238,7 @@
     confirmedAt = sentAt
     if (!wasConfirmed) logger.info('orderer-resumed', { fence: ownTerm.fence })
   }
-  /** Revokes the lease of a leader whose process has ended, so that orders continue without waiting for it to lapse. */
+  /** Revokes the lease of a leader whose process has ended, so that orders continue without waiting for it to expire. */
   const revokeEndedLeaderLease = async (): Promise<void> => {
     const holder = leader.value?.holder
     if (holder === undefined || holder === self || !await options.hasProcessEnded(holder)) return
--- a/packages/magnoliabay/src/node/serving/placement/leaderRecords.ts
+++ b/packages/magnoliabay/src/node/serving/placement/leaderRecords.ts
@@ -111,7 +111,7 @@
 }
 
 /**
- * Records the machine as the last to order, if its claim of that revision is still current and nobody has ordered
+ * Records the machine as the last to order, if its claim of that revision is still current and no machine has ordered
  * meanwhile.
  */
 export function writeLastOrderRecord (store: Store, record: Pick<LastOrderRecord, 'machine' | 'era'>, claimRevision: number, lastOrderRevision: number): Promise<ConditionalWriteResult> {
--- a/packages/magnoliabay/src/node/serving/placement/messages.ts
+++ b/packages/magnoliabay/src/node/serving/placement/messages.ts
@@ -6,7 +6,7 @@
   adapter: string | undefined
   /** Time for which the first request has waited, milliseconds. */
   waitedMs: number
-  /** Longest further wait, milliseconds; a caller that would have to wait longer is told at once to retry. */
+  /** Longest further wait, milliseconds; a caller that would have to wait longer is refused at once. */
   patienceMs: number
 }
 
--- a/packages/magnoliabay/src/node/serving/placement/peerLeaseRenewal.ts
+++ b/packages/magnoliabay/src/node/serving/placement/peerLeaseRenewal.ts
@@ -1,6 +1,6 @@
 /**
  * Renews a lease through a peer. It covers a store that rejects the leader and serves other instances: the lease would
- * lapse, and no orders would be given for three seconds or more. The store renews a lease by its id for any caller, so
+ * expire, and no orders would be given for three seconds or more. The store renews a lease by its id for any caller, so
  * the leader continues while any peer reaches the store.
  */
 import { definePeerCall } from '../../members'
--- a/packages/magnoliabay/src/node/serving/placement/placementClient.ts
+++ b/packages/magnoliabay/src/node/serving/placement/placementClient.ts
@@ -92,8 +92,8 @@
     let lastRequestMs = -Infinity
     let hasLeader = false
     for (;;) {
-      // A caller that waits on, or whose request begins now, would be cut off when the process ends; one that waits
-      // would get no response at all.
+      // When the process ends, a request that begins now would be cut off, and one that is still waiting would get no
+      // response at all.
       if (isShuttingDown()) return { kind: 'closing' }
       const usableServers = serversWithModel(service, model, adapter).filter(server => !excludedProcesses.has(serverProcessId(server)))
       if (usableServers.length > 0) return { kind: 'ready', servers: usableServers }
--- a/packages/magnoliabay/src/node/serving/placement/placementController.ts
+++ b/packages/magnoliabay/src/node/serving/placement/placementController.ts
@@ -60,7 +60,7 @@
   cfg: ServingConfigProvider
   table: FleetView
   engines: EngineCalls
-  /** Since when the store has answered every call, monotonic milliseconds. */
+  /** Time since which the store has answered every call, monotonic milliseconds. */
   storeReachableSinceMs: () => number
   peers: Peers
   clock: Clock
@@ -225,8 +225,8 @@
     const weightsMb = orders.specOf(reservation.model)?.weightsMb ?? Infinity
     // Memory that a pending unload frees is counted: the engine rejects the load until it is free.
     const freedMb = tracked.pending?.operation === 'unload' ? orders.specOf(tracked.pending.model)?.weightsMb ?? 0 : 0
-    const isShort = freeWeightsMb(tracked, spec) + freedMb < weightsMb
-    if (isShort || (tierOf(tracked, reservation.model) === 'store' && storeLoads.remaining(now) === 0)) {
+    const lacksMemory = freeWeightsMb(tracked, spec) + freedMb < weightsMb
+    if (lacksMemory || (tierOf(tracked, reservation.model) === 'store' && storeLoads.remaining(now) === 0)) {
       if (tracked.pending === undefined) reservations.delete(process)
       return
     }
@@ -330,7 +330,7 @@
     const now = clock.monotonic()
     const previous = openRequests.get(req.model)
     const expectedInMs = Math.round(expectedMs)
-    // A caller that is told to retry later must find the model loaded then.
+    // A caller that is refused must find the model loaded when it retries.
     const ttlMs = REQUEST_TTL_MS + (expectedInMs > req.patienceMs ? expectedInMs : 0)
     openRequests.set(req.model, { sinceMs: Math.min(previous?.sinceMs ?? Infinity, now - req.waitedMs), untilMs: Math.max(previous?.untilMs ?? 0, now + ttlMs) })
     if (previous === undefined) schedulePlan()
--- a/packages/magnoliabay/src/node/serving/placement/plan.ts
+++ b/packages/magnoliabay/src/node/serving/placement/plan.ts
@@ -225,7 +225,7 @@
 }
 
 /**
- * Finds the models that an engine can unload to make room for a model of a given size: one, or two where one is not
+ * Finds the models that an engine can unload to free memory for a model of a given size: one, or two where one is not
  * enough. Without pairs, engines full of smaller models never took a large one: a busy model stayed on one engine for
  * thirty seconds (p50 2 s) although each of twelve others could have unloaded two. Results are cached by engine and size,
  * of which there are few; computing them for each need took a third of the leader's processor at 63 engines.
