--- a/packages/magnoliabay/src/node/serving/chooseServer.ts
+++ b/packages/magnoliabay/src/node/serving/chooseServer.ts
@@ -43,7 +43,7 @@
 /** Returns the candidate of least cost; `tieBreak` (from 0 to below 1) selects one of several with equal cost. */
 export function chooseServer (candidates: readonly Candidate[], tieBreak: number): Candidate | undefined {
   const costs = candidates.map(cost)
-  const least = Math.min(...costs)
-  const best = candidates.filter((_, index) => costs[index]! <= least + Number.EPSILON)
+  const lowestCost = Math.min(...costs)
+  const best = candidates.filter((_, index) => costs[index]! <= lowestCost + Number.EPSILON)
   return best[Math.floor(tieBreak * best.length)]
 }
--- a/packages/magnoliabay/src/node/serving/coldStarts.ts
+++ b/packages/magnoliabay/src/node/serving/coldStarts.ts
@@ -71,10 +71,10 @@
     admit: async server => {
       const process = serverProcessId(server)
       const perSecond = options.coldStartOf(server.service)?.requestsPerSecond ?? 0
-      const most = Math.floor((perSecond * options.tolerance.ratio + options.tolerance.slack) * HOME_RATIO)
+      const maxGranted = Math.floor((perSecond * options.tolerance.ratio + options.tolerance.slack) * HOME_RATIO)
       const home = homeInstanceOf(peers, process)
-      if (home === peers.self.id) return tryGrant(process, most)
-      const reply = await peers.call(home, admitCall, { process, most }, { timeoutMs: ADMIT_TIMEOUT_MS })
+      if (home === peers.self.id) return tryGrant(process, maxGranted)
+      const reply = await peers.call(home, admitCall, { process, most: maxGranted }, { timeoutMs: ADMIT_TIMEOUT_MS })
       if (reply.err) logger.info('cold-server-not-asked', { server: server.id, home, reason: reply.val.kind })
       return reply.ok && reply.val.isAdmitted
     }
