--- a/packages/magnoliabay/src/node/serving/attempt.ts
+++ b/packages/magnoliabay/src/node/serving/attempt.ts
@@ -4,9 +4,9 @@
 import type { ResponseHead, Connections, Exchange } from './exchange'
 import type { BackendServer } from './types'
 
-/** Responses up to this size are buffered until they are complete, so that an incomplete one can be replaced, bytes. */
+/** Largest response that is buffered until it is complete, so that an incomplete one can be replaced, bytes. */
 const MAX_BUFFERED_BYTES = 262_144
-/** If more than this waits to be sent to a slow caller, the attempt fails, which bounds the memory in use, bytes. */
+/** Bytes waiting to be sent to a slow caller above which the attempt fails, which bounds the memory in use. */
 const MAX_PENDING_WRITE_BYTES = 4_194_304
 
 /** Decoded headers of a response. */
--- a/packages/magnoliabay/src/node/serving/dissemination.ts
+++ b/packages/magnoliabay/src/node/serving/dissemination.ts
@@ -43,7 +43,7 @@
 const MIN_LIST_FETCH_INTERVAL_MS = 700
 /** Interval at which an instance without contact to the leader and the store asks a peer, milliseconds. */
 const STATUS_POLL_INTERVAL_MS = 250
-/** The store counts as lost after this long without an answer: a watch is answered sooner, milliseconds. */
+/** Time without an answer after which the store counts as lost, milliseconds: a watch is answered sooner. */
 const STORE_CONTACT_TIMEOUT_MS = 5500
 const CALL_TIMEOUT_MS = 700
 
--- a/packages/magnoliabay/src/node/serving/eventStream.ts
+++ b/packages/magnoliabay/src/node/serving/eventStream.ts
@@ -4,7 +4,7 @@
  * not be withdrawn when another server resumes the stream.
  */
 
-/** A longer event is treated as malformed, bytes. */
+/** Longest event that is not treated as malformed, bytes. */
 const MAX_EVENT_BYTES = 1_048_576
 const EVENT_END = Buffer.from('\n\n')
 const ID_LINE = /^id: ?(\d+)$/m
--- a/packages/magnoliabay/src/node/serving/requestAdmission.ts
+++ b/packages/magnoliabay/src/node/serving/requestAdmission.ts
@@ -5,7 +5,7 @@
 import type { Refusal } from './refusal'
 import type { CallerRequest, Route, Service, Team } from './types'
 
-/** A process without a configuration receives one within this time, or is replaced, milliseconds. */
+/** Retry delay, milliseconds: a process without a configuration receives one within this time, or is replaced. */
 const NO_CONFIG_RETRY_AFTER_MS = 500
 
 export interface AdmittedRequest {
--- a/packages/magnoliabay/src/node/serving/requestHandler.ts
+++ b/packages/magnoliabay/src/node/serving/requestHandler.ts
@@ -13,17 +13,20 @@
 import { serverProcessId } from './types'
 import type { BackendServer, CallerRequest } from './types'
 
-/** A stream's caller gives up after a gap of the longest of these: two seconds, so many latency objectives, so many maximum event gaps. */
+/**
+ * The longest gap between events for which a stream's caller waits is the largest of three times: this minimum, and these
+ * multiples of the route's latency objective and of its maximum event gap.
+ */
 const MIN_CALLER_GAP_MS = 2000
 const CALLER_GAP_LATENCY_OBJECTIVES = 4
 const CALLER_GAP_EVENT_GAPS = 8
-/** Time for the response to reach the caller before it gives up, milliseconds. */
+/** Time for the response to reach the caller before it stops waiting, milliseconds. */
 const RESPONSE_MARGIN_MS = 250
-/** A full server has free slots again after about one service time, milliseconds. */
+/** Retry delay, milliseconds: a full server has free slots again after about one service time. */
 const SERVER_FULL_RETRY_AFTER_MS = 300
-/** A new leader is elected within some seconds; callers retry within a third of their deadline, milliseconds. */
+/** Retry delay, milliseconds: a new leader is elected within some seconds; callers retry within a third of their deadline. */
 const NO_LEADER_RETRY_AFTER_MS = 2000
-/** Other instances can take the request at once, milliseconds. */
+/** Retry delay, milliseconds: other instances can take the request at once. */
 const LEAVING_RETRY_AFTER_MS = 20
 /** Delay before a cold server is tried again, and the delay after which its callers may retry, milliseconds. */
 const COLD_SERVER_DELAY_MS = 150
@@ -167,7 +170,7 @@
     updateSuspects(run, server, ended)
     return ended
   }
-  /** Gives up an attempt at a server that has stopped responding, if the request may be retried at another. */
+  /** Ends an attempt at a server that has stopped responding, if the request may be retried at another. */
   const checkSilence = (run: RequestRun, attempt: Attempt, id: string): () => void => {
     let cancel = (): void => {}
     const check = (): void => {
--- a/packages/magnoliabay/src/node/serving/storeProxy.ts
+++ b/packages/magnoliabay/src/node/serving/storeProxy.ts
@@ -27,11 +27,11 @@
 const ASK_TIMEOUT_MS = 300
 /** Interval at which an instance that is not the leader checks whether it is, milliseconds. */
 const LEADERSHIP_CHECK_INTERVAL_MS = 1000
-/** A leader without contact to the store for this long asks for a proxy, milliseconds: well before its followers give it up. */
+/** A leader without contact to the store for this long asks for a proxy, milliseconds: well before its followers stop following it. */
 const MAX_OWN_STORE_AGE_MS = 800
 /** A proxy without contact to the store for this long is replaced, milliseconds. */
 const MAX_PROXY_STORE_AGE_MS = 1500
-/** A proxy that was given up is not asked again for this long, milliseconds. */
+/** A proxy that was replaced is not asked again for this long, milliseconds. */
 const PROXY_AVOIDANCE_MS = 3000
 /** A proxy that is not asked any more stops watching after this long, milliseconds. */
 const CLIENT_TTL_MS = 1500
--- a/packages/magnoliabay/src/node/serving/upstream.ts
+++ b/packages/magnoliabay/src/node/serving/upstream.ts
@@ -10,7 +10,7 @@
   peers: Pick<Peers, 'self' | 'members' | 'isConnected'>
   /** The leader, as far as known here. */
   leader: () => string | undefined
-  /** A relay that sent no summary for this long is given up, milliseconds. */
+  /** A relay that sent no summary for this long is replaced by another, milliseconds. */
   silenceTimeoutMs: () => number
   clock: Clock
 }
