--- a/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
+++ b/packages/magnoliabay/src/node/serving/__tests__/support/simulatedFleet.ts
@@ -118,7 +118,7 @@
     const counted = async <T extends { ok: boolean }>(call: Promise<T>): Promise<T> => {
       instance().calls += 1
       const res = await call
-      connectivity.recordCall(!isStoreDown(), 'a call', 'turned away')
+      connectivity.recordCall(!isStoreDown(), 'a call', 'store is down')
       return res
     }
     const store: Store = {
@@ -149,8 +149,8 @@
         }
         const answer = (events: readonly KvEvent[], at: number): void => {
           if (signal.aborted) return
-          connectivity.recordCall(!isStoreDown(), 'a watch', 'turned away')
-          if (isStoreDown()) return end({ kind: 'failed', err: { kind: 'unavailable', message: 'turned away' } })
+          connectivity.recordCall(!isStoreDown(), 'a watch', 'store is down')
+          if (isStoreDown()) return end({ kind: 'failed', err: { kind: 'unavailable', message: 'store is down' } })
           events.forEach(({ kind, entry }) => subscribersOf(prefixWatch)
             .filter(({ prefix }) => entry.key.startsWith(prefix))
             .forEach(({ handlers }) => handlers.onEvent({ ...entry, kind })))
--- a/packages/magnoliabay/src/node/serving/allowance/__tests__/support/simulation.ts
+++ b/packages/magnoliabay/src/node/serving/allowance/__tests__/support/simulation.ts
@@ -38,7 +38,7 @@
   others: string[]
   /** Sets faults of the store for one live process alone. */
   setStoreOf (id: string, changes: Partial<KvFaults>): void
-  /** Ends the member's process: it asks, reports and writes nothing any more. */
+  /** Ends the member's process: it sends no more requests, reports or records. */
   kill (id: string): void
   /** Starts a new process of the member. */
   join (id: string, changes: Partial<MemberRecord>): void
@@ -138,11 +138,11 @@
   }
 }
 
-/** Kills every process and restarts it after `downMs`. */
-export async function restartAll (simulation: Simulation, downMs: number, turn = 1): Promise<void> {
+/** Kills every process and restarts it after `downMs`, with an incarnation numbered after `round`. */
+export async function restartAll (simulation: Simulation, downMs: number, round = 1): Promise<void> {
   IDS.forEach(simulation.kill)
   await simulation.clock.advance(downMs)
-  IDS.forEach(id => simulation.join(id, { incarnation: `${id}-${turn + 1}` }))
+  IDS.forEach(id => simulation.join(id, { incarnation: `${id}-${round + 1}` }))
   await simulation.clock.advance(10)
 }
 
